--- a/internal/consolidate/consolidate.go
+++ b/internal/consolidate/consolidate.go
@@ -55,7 +55,7 @@
 		if t := l.Teams[j.Spec.Team]; t == nil || !t.Within(j.Spec.Need) || l.UnitsFor(j) < 1 {
 			continue
 		}
-		if slices.ContainsFunc(no, func(s *model.Spec) bool { return s.Need == j.Spec.Need && placement.Alike(s, j.Spec) }) {
+		if slices.ContainsFunc(no, func(s *model.Spec) bool { return s.Need == j.Spec.Need && placement.SameConstraints(s, j.Spec) }) {
 			continue
 		}
 		var sum model.Need
@@ -255,7 +255,7 @@
 				return false
 			}
 			// Where a task alike and as large could go, this one could go itself.
-			if s.target[q] || !need.Fits(s.free[i].Add(q.Job.Spec.Need)) || need.Fits(q.Job.Spec.Need) && placement.Alike(p.Job.Spec, q.Job.Spec) {
+			if s.target[q] || !need.Fits(s.free[i].Add(q.Job.Spec.Need)) || need.Fits(q.Job.Spec.Need) && placement.SameConstraints(p.Job.Spec, q.Job.Spec) {
 				continue
 			}
 			n := len(s.moves)
--- a/internal/consolidate/consolidate_test.go
+++ b/internal/consolidate/consolidate_test.go
@@ -39,7 +39,7 @@
 	e := &env{rng: rand.New(rand.NewPCG(1, 1))}
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 8}), 1,
 		[]settings.Team{{Name: "t"}})
-	w := &world{t: t, l: l, v: &placement.View{Now: e.Now(), Silent: time.Minute, Holds: map[*ledger.Machine]*placement.Hold{}}}
+	w := &world{t: t, l: l, v: &placement.View{Now: e.Now(), SilentAfter: time.Minute, Holds: map[*ledger.Machine]*placement.Hold{}}}
 	for i, g := range gpus {
 		name := string(rune('a' + i))
 		if i >= 26 {
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -1,7 +1,7 @@
-// Package estimates learns by how much the owners' estimates of run times are too
-// low. On some days most are; what is planned with them (projections, deadlines,
-// the order of work) is planned with the corrected ones. It is a leader's
-// knowledge: the next one learns anew.
+// Package estimates learns by how much the owners' estimates of run times are too low.
+// Sometimes most of them are. Projections, deadlines and the order of jobs then use
+// corrected estimates. Only the leader keeps these statistics, and a new leader starts
+// without any.
 package estimates
 
 import (
@@ -11,40 +11,43 @@
 )
 
 const (
-	// Ratios are recorded in thousandths, up to a hundred times the estimate.
-	unit, lowest, highest = 1000, 1, 100 * 1000
-	// Windows of so many samples each; those before the last few are forgotten.
-	windows, perWindow = 3, 400
-	// Fewer samples say nothing.
-	fewest = 30
-	// An estimate is corrected upwards only, and by no more than this. One that is
-	// too high makes plans careful, which costs little: corrected down by what was
-	// seen, 15 of 1,000 jobs missed their deadlines on a day on which owners thought
-	// twice the truth, without that 8 (sim.TestWrongEstimates).
-	mostFactor = 2.5
-	// Below this the estimates are as good as they are on a usual day: corrected
-	// by a tenth or two, plans only moved about (docs/rounds.md).
-	clearlyLow = 1.25
-	// Users choose the classes' names: beyond so many they share one entry.
-	mostClasses = 200
-	others      = ""
+	// Ratios of the actual to the estimated time are recorded in thousandths, up to a
+	// hundred times the estimate.
+	ratioScale, minRatio, maxRatio = 1000, 1, 100 * 1000
+	// The histogram has this many windows of this many samples each. Older samples are
+	// dropped.
+	windows, samplesPerWindow = 3, 400
+	// With fewer samples the factor is not updated.
+	minSamples = 30
+	// Estimates are only corrected upwards, and by at most this factor. An estimate that
+	// is too high makes plans cautious, which costs little. With downward corrections, 15
+	// of 1,000 jobs missed their deadlines when the owners estimated twice the actual
+	// time; without them, 8 did (sim.TestWrongEstimates).
+	maxFactor = 2.5
+	// Smaller factors are within the usual error of estimates. Corrections by ten or
+	// twenty percent only made plans change often (docs/rounds.md).
+	minFactor = 1.25
+	// Users choose the names of classes. Classes beyond this number share the entry
+	// sharedClass.
+	maxClasses  = 200
+	sharedClass = ""
 )
 
-// Class has what was seen of a class of jobs.
+// Class holds the statistics of a class of jobs.
 type Class struct {
-	seen   *hdrhistogram.WindowedHistogram
-	count  int // in the current window
+	ratios *hdrhistogram.WindowedHistogram
+	count  int // samples in the current window
 	factor float64
 }
 
-// Book has all classes.
-type Book map[string]*Class
+// Classes maps the names of classes to their statistics.
+type Classes map[string]*Class
 
-// Class finds or makes the entry of a class.
-func (b Book) Class(name string) *Class {
+// Class returns the entry of a class and creates it if necessary.
+func (b Classes) Class(name string) *Class {
 	c := b[name]
-	if c == nil && len(b) >= mostClasses {
-		name = others
+	if c == nil && len(b) >= maxClasses {
+		name = sharedClass
 		c = b[name]
 	}
 	if c == nil {
@@ -54,34 +57,34 @@
 	return c
 }
 
-// Ran notes that a task that was expected to run for so many seconds ran
-// through, from its beginning, in the given time.
-func (c *Class) Ran(expectedS float64, took time.Duration) {
+// RecordRun records that a task with an estimate of expectedS seconds ran from beginning
+// to end in the given time.
+func (c *Class) RecordRun(expectedS float64, took time.Duration) {
 	if expectedS <= 0 || took <= 0 {
 		return
 	}
-	if c.seen == nil {
-		c.seen = hdrhistogram.NewWindowed(windows, lowest, highest, 2)
+	if c.ratios == nil {
+		c.ratios = hdrhistogram.NewWindowed(windows, minRatio, maxRatio, 2)
 	}
-	if c.count >= perWindow {
-		c.seen.Rotate()
+	if c.count >= samplesPerWindow {
+		c.ratios.Rotate()
 		c.count = 0
 	}
 	c.count++
-	r := int64(unit * took.Seconds() / expectedS)
-	// Values are inside the bounds, so that recording can't fail.
-	_ = c.seen.Current.RecordValue(min(max(r, lowest), highest))
+	r := int64(ratioScale * took.Seconds() / expectedS)
+	// The value is within the bounds of the histogram, so recording can't fail.
+	_ = c.ratios.Current.RecordValue(min(max(r, minRatio), maxRatio))
 	if c.count%25 == 0 {
-		if all := c.seen.Merge(); all.TotalCount() >= fewest {
-			c.factor = min(float64(all.ValueAtQuantile(50))/unit, mostFactor)
-			if c.factor < clearlyLow {
+		if all := c.ratios.Merge(); all.TotalCount() >= minSamples {
+			c.factor = min(float64(all.ValueAtQuantile(50))/ratioScale, maxFactor)
+			if c.factor < minFactor {
 				c.factor = 1
 			}
 		}
 	}
 }
 
-// Factor is what an estimate of the class is to be multiplied by.
+// Factor returns the factor by which to multiply estimates of the class.
 func (c *Class) Factor() float64 {
 	if c == nil {
 		return 1
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// TestFactor guards what is learned: nothing from few, the median of what was
-// seen lately, never less than the owners say, and bounded memory.
+// TestFactor checks that few samples change nothing, that the factor follows the median of
+// recent samples and never falls below 1, and that memory is bounded.
 func TestFactor(t *testing.T) {
-	b := Book{}
+	b := Classes{}
 	c := b.Class("x")
 	feed := func(n int, ratio float64) {
 		for i := range n {
 			r := ratio
 			if i%5 == 0 {
-				r = 50 // a few that are quite out of line
+				r = 50 // a few outliers
 			}
-			c.Ran(10, time.Duration(10*r*float64(time.Second)))
+			c.RecordRun(10, time.Duration(10*r*float64(time.Second)))
 		}
 	}
 	for _, step := range []struct {
@@ -30,24 +30,24 @@
 			t.Errorf("after %d at %v: factor %v, want %v to %v", step.n, step.ratio, f, step.low, step.high)
 		}
 	}
-	c.Ran(0, time.Second)
-	c.Ran(10, 0)
+	c.RecordRun(0, time.Second)
+	c.RecordRun(10, 0)
 	for i := range 10000 {
-		b.Class(fmt.Sprint("c", i)).Ran(1, time.Second)
+		b.Class(fmt.Sprint("c", i)).RecordRun(1, time.Second)
 	}
-	if len(b) > mostClasses+1 {
+	if len(b) > maxClasses+1 {
 		t.Errorf("%d classes are kept", len(b))
 	}
 	if (*Class)(nil).Factor() != 1 {
-		t.Error("a class without an entry has a factor")
+		t.Error("a class without an entry has a factor other than 1")
 	}
 }
 
-// BenchmarkRan measures what a task that ends costs.
+// BenchmarkRan measures the cost of recording the end of a task.
 func BenchmarkRan(b *testing.B) {
-	c := Book{}.Class("x")
+	c := Classes{}.Class("x")
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		c.Ran(10, time.Duration(5+i%20)*time.Second)
+		c.RecordRun(10, time.Duration(5+i%20)*time.Second)
 	}
 }
--- a/internal/estimates/pace.go
+++ b/internal/estimates/pace.go
@@ -6,58 +6,61 @@
 )
 
 const (
-	// With fewer runs of a job there is nothing to compare a run with.
-	fewestRuns = 4
-	// A run shorter than this says more about reports than about the machine.
-	shortestRun = 3 * time.Second
-	// Newer runs count more once there were so many.
-	paceRuns = 16
-	// So many runs' worth of doubt: a machine counts as usual to begin with.
-	paceDoubt = 4
-	// One run counts as at most so much slower or faster (natural logarithm).
-	mostPace = 1.4
-	// A machine is too slow when its tasks take this much longer than the same
-	// jobs' elsewhere. Machines of a type differ by a tenth.
-	tooSlow  = 1.4
-	surePace = 6 // runs
+	// A job needs this many earlier runs before another run is compared with them.
+	minRuns = 4
+	// The time of a run shorter than this depends more on the delay of reports than on the
+	// machine.
+	minRunTime = 3 * time.Second
+	// A new run counts as if there were at most this many runs, so that newer runs weigh
+	// more.
+	maxMeanWeight = 16
+	// A machine starts as if it had had this many runs of usual length.
+	priorRuns = 4
+	// The natural logarithm of the ratio of a run is limited to this, up and down.
+	maxLogRatio = 1.4
+	// A machine is too slow if its tasks take this many times as long as those of the same
+	// jobs elsewhere. Machines of one type differ by a tenth.
+	tooSlowFactor  = 1.4
+	minRunsTooSlow = 6 // runs before a machine can count as too slow
 )
 
-// Runs is what is known of how long a job's tasks take on average.
+// Runs holds the statistics of how long the tasks of a job run.
 type Runs struct {
 	n   int
 	sum float64
 }
 
-// Add notes a run. It returns by how much it took longer than the job's earlier
-// ones, as a natural logarithm; ok false if that can't be said.
+// Add records a run. It returns the natural logarithm of the ratio of its time to the
+// geometric mean of the job's earlier runs; ok is false if there are too few of them or
+// the run was too short.
 func (r *Runs) Add(took time.Duration) (ratio float64, ok bool) {
-	if took < shortestRun {
+	if took < minRunTime {
 		return 0, false
 	}
 	x := math.Log(took.Seconds())
-	ratio, ok = x-r.sum/float64(max(1, r.n)), r.n >= fewestRuns
+	ratio, ok = x-r.sum/float64(max(1, r.n)), r.n >= minRuns
 	r.n++
 	r.sum += x
 	return ratio, ok
 }
 
-// Pace is how fast a machine runs tasks, against others with tasks of the same
-// jobs.
+// Pace estimates how fast a machine runs tasks, compared with other machines that run
+// tasks of the same jobs.
 type Pace struct {
 	n    int
 	mean float64
 }
 
-// Ran notes a run on the machine, with what Runs.Add said of it.
-func (p *Pace) Ran(ratio float64) {
+// RecordRun records a run on the machine, with the ratio that Runs.Add returned.
+func (p *Pace) RecordRun(ratio float64) {
 	p.n++
-	p.mean += (min(max(ratio, -mostPace), mostPace) - p.mean) / float64(min(p.n, paceRuns))
+	p.mean += (min(max(ratio, -maxLogRatio), maxLogRatio) - p.mean) / float64(min(p.n, maxMeanWeight))
 }
 
-// Factor is how many times as long a task probably takes on the machine.
+// Factor returns the estimated ratio of the run times on the machine to those elsewhere.
 func (p *Pace) Factor() float64 {
-	return math.Exp(p.mean * float64(p.n) / float64(p.n+paceDoubt))
+	return math.Exp(p.mean * float64(p.n) / float64(p.n+priorRuns))
 }
 
-// TooSlow reports whether the machine is surely much slower than others.
-func (p *Pace) TooSlow() bool { return p.n >= surePace && p.Factor() > tooSlow }
+// TooSlow reports whether the machine has had enough runs and is much slower than others.
+func (p *Pace) TooSlow() bool { return p.n >= minRunsTooSlow && p.Factor() > tooSlowFactor }
--- a/internal/estimates/pace_test.go
+++ b/internal/estimates/pace_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// TestPace guards what is learned of machines: of many whose runs scatter by a
-// third and that differ by a tenth none is called slow, and one that takes twice
-// as long is, soon.
+// TestPace checks that a machine that takes twice as long is soon found to be too slow,
+// and none of the others, whose speeds differ by a tenth while their runs vary by a third.
 func TestPace(t *testing.T) {
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -24,7 +23,7 @@
 				m := r.IntN(len(paces))
 				took := length * speeds[m] * (0.67 + 0.67*r.Float64())
 				if x, ok := runs.Add(time.Duration(took * float64(time.Second))); ok {
-					paces[m].Ran(x)
+					paces[m].RecordRun(x)
 				}
 			}
 			if found == 0 && paces[7].TooSlow() {
@@ -32,18 +31,18 @@
 			}
 		}
 		if found == 0 || found > 20 {
-			t.Errorf("seed %d: a machine that takes twice as long was found after %d jobs (0: never)", seed, found)
+			t.Errorf("seed %d: the machine that takes twice as long was found after %d jobs (0: never)", seed, found)
 		}
 		for i := range paces {
 			if f := paces[i].Factor(); i != 7 && (paces[i].TooSlow() || f < 0.75 || f > 1.3) {
-				t.Errorf("seed %d: machine of factor %.2f is called %.2f, too slow %v", seed, speeds[i], f, paces[i].TooSlow())
+				t.Errorf("seed %d: machine with run time factor %.2f has factor %.2f, too slow %v", seed, speeds[i], f, paces[i].TooSlow())
 			}
 		}
 	}
 	var short Runs
 	for range 10 {
 		if _, ok := short.Add(time.Second); ok {
-			t.Fatal("a run of a second is compared")
+			t.Fatal("Add compared a run of one second")
 		}
 	}
 }
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -1,7 +1,7 @@
-// Package fair divides what is short between teams and, within each team, between its
-// classes, so that nobody gets more than it wants while another, by its weight, has
-// less than it wants (max-min fairness). Floors of what runs and parts of what is
-// taken in are divided by it alike.
+// Package fair divides a scarce amount between teams and, within each team, between its
+// classes, by weighted max-min fairness: no participant gets more than its demand, and
+// none gets more by weight than one whose demand is unmet. It is used for minimum shares
+// of the cluster and for parts of the admitted load.
 package fair
 
 import (
@@ -9,19 +9,19 @@
 	"slices"
 )
 
-// Key is who shares: a team, or a class of a team.
+// Key identifies a participant in a division: a team, or a class of a team.
 type Key struct{ Team, Class string }
 
-// Share is one who wants a part.
+// Share holds the demand and the result of one participant.
 type Share struct {
-	Key    Key
-	Want   float64 // in the unit of what is divided; less than 0 counts as 0
-	Weight float64 // 0 or less: 1
-	Got    float64 // set by Divide and ByTeam
+	Key       Key
+	Demand    float64 // in the unit of what is divided; values below 0 count as 0
+	Weight    float64 // values of 0 or less count as 1
+	Allocated float64 // set by Divide and ByTeam
 }
 
-// Divide gives the shares what they want, or where the total doesn't suffice what
-// their weights allow them. It returns what nobody wanted.
+// Divide gives the shares what they demand or, if the total doesn't suffice, what their
+// weights allow them. It returns the part of the total that nobody demanded.
 func Divide(total float64, shares []*Share) float64 {
 	weight := func(s *Share) float64 {
 		if s.Weight <= 0 {
@@ -30,21 +30,22 @@
 		return s.Weight
 	}
 	sorted := slices.Clone(shares)
-	slices.SortStableFunc(sorted, func(a, b *Share) int { return cmp.Compare(max(0, a.Want)/weight(a), max(0, b.Want)/weight(b)) })
+	slices.SortStableFunc(sorted, func(a, b *Share) int { return cmp.Compare(max(0, a.Demand)/weight(a), max(0, b.Demand)/weight(b)) })
 	sum := 0.0
 	for _, s := range sorted {
 		sum += weight(s)
 	}
 	for _, s := range sorted {
-		s.Got = min(max(0, s.Want), max(0, total)*weight(s)/sum)
-		total -= s.Got
+		s.Allocated = min(max(0, s.Demand), max(0, total)*weight(s)/sum)
+		total -= s.Allocated
 		sum -= weight(s)
 	}
 	return max(0, total)
 }
 
-// ByTeam divides the total between teams by the given weights (nil: alike), and what each
-// team got between its shares. Classes that a team invents only divide its own part.
+// ByTeam divides the total between the teams by the given weights (nil means equal), and
+// the part of each team between its shares. A team gains nothing by inventing classes,
+// because they only divide its own part.
 func ByTeam(total float64, shares []*Share, weight func(team string) float64) float64 {
 	var teams []*Share
 	of := map[string][]*Share{}
@@ -60,12 +61,12 @@
 	}
 	for _, t := range teams {
 		for _, s := range of[t.Key.Team] {
-			t.Want += max(0, s.Want)
+			t.Demand += max(0, s.Demand)
 		}
 	}
 	left := Divide(total, teams)
 	for _, t := range teams {
-		Divide(t.Got, of[t.Key.Team])
+		Divide(t.Allocated, of[t.Key.Team])
 	}
 	return left
 }
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// TestByTeam guards the division: nothing beyond the total or beyond what is wanted,
-// nothing left while somebody wants more, nobody below another of its team by weight
-// while it wants more, and no gain for a team that invents classes.
+// TestByTeam checks the division: nobody gets more than it demands, the parts and the rest
+// add up to the total, nothing is left while a demand is unmet, no share gets less by
+// weight than another of its team while its demand is unmet, and a team that invents
+// classes gains nothing.
 func TestByTeam(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -19,20 +20,20 @@
 			team := fmt.Sprint("t", i)
 			weights[team] = rng.Float64() * 3
 			for k := range 1 + rng.IntN(6) {
-				ss = append(ss, &Share{Key: Key{team, fmt.Sprint("c", k)}, Want: rng.Float64()*12 - 1, Weight: float64(rng.IntN(3))})
+				ss = append(ss, &Share{Key: Key{team, fmt.Sprint("c", k)}, Demand: rng.Float64()*12 - 1, Weight: float64(rng.IntN(3))})
 			}
 		}
 		total := rng.Float64() * 60
 		left := ByTeam(total, ss, func(team string) float64 { return weights[team] })
 		sum, short := 0.0, false
 		for _, s := range ss {
-			sum += s.Got
-			short = short || s.Got < s.Want-1e-9
-			if s.Got < 0 || s.Got > max(0, s.Want)+1e-9 {
+			sum += s.Allocated
+			short = short || s.Allocated < s.Demand-1e-9
+			if s.Allocated < 0 || s.Allocated > max(0, s.Demand)+1e-9 {
 				t.Fatalf("seed %d: %+v", seed, s)
 			}
 			for _, o := range ss {
-				if o.Key.Team == s.Key.Team && s.Got < s.Want-1e-9 && o.Got/max(1, o.Weight) > s.Got/max(1, s.Weight)+1e-9 {
+				if o.Key.Team == s.Key.Team && s.Allocated < s.Demand-1e-9 && o.Allocated/max(1, o.Weight) > s.Allocated/max(1, s.Weight)+1e-9 {
 					t.Fatalf("seed %d: %+v has less than %+v", seed, s, o)
 				}
 			}
@@ -41,13 +42,13 @@
 			t.Fatalf("seed %d: %v given of %v, %v left", seed, sum, total, left)
 		}
 	}
-	honest := &Share{Key: Key{"a", "x"}, Want: 9}
+	honest := &Share{Key: Key{"a", "x"}, Demand: 9}
 	ss := []*Share{honest}
 	for i := range 1000 {
-		ss = append(ss, &Share{Key: Key{"b", fmt.Sprint(i)}, Want: 9})
+		ss = append(ss, &Share{Key: Key{"b", fmt.Sprint(i)}, Demand: 9})
 	}
 	ByTeam(10, ss, func(string) float64 { return 1 })
-	if honest.Got != 5 {
-		t.Errorf("a team without invented classes got %v of 10", honest.Got)
+	if honest.Allocated != 5 {
+		t.Errorf("a team without invented classes got %v of 10", honest.Allocated)
 	}
 }
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -44,7 +44,7 @@
 // Rent projects when the jobs that could not be placed will start on what is
 // there and on its way. It rents where that is too late for an aim that a new
 // machine would still meet, or much later than a new machine would run it.
-func (a *Actor) Rent(left []*ledger.Job, v *placement.View, aims *placement.Aims, claims placement.Claims) {
+func (a *Actor) Rent(left []*ledger.Job, v *placement.View, aims *placement.Objectives, claims placement.Claims) {
 	if len(a.led.Types) == 0 || !a.listOnce {
 		return
 	}
@@ -66,7 +66,7 @@
 	for _, m := range a.led.Sorted() {
 		byZone[m.Zone]++
 		if !m.Heard && !m.Leaving && m.Known && m.Listed != "failed" {
-			pr.Add(&placement.Slot{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap}, a.upAt(m))
+			pr.Add(&placement.ProjectedMachine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap}, a.upAt(m))
 			coming++
 		}
 	}
@@ -83,7 +83,7 @@
 	}
 	need := map[pool]int{}
 	total := 0
-	order := func(j *ledger.Job, zone string) *placement.Slot {
+	order := func(j *ledger.Job, zone string) *placement.ProjectedMachine {
 		p, ok := a.choose(j, zone, byZone)
 		if !ok || total >= maxRent {
 			return nil
@@ -95,7 +95,7 @@
 	}
 	// A gang's first machines are idle until its last is up: they must not be
 	// returned meanwhile, or it never comes together.
-	wanted := func(s *placement.Slot) {
+	wanted := func(s *placement.ProjectedMachine) {
 		if s.M != nil {
 			s.M.WantedAt = now
 		}
@@ -104,7 +104,7 @@
 	for i, j := range left[:most] {
 		// Each job looks at all machines: with thousands of them waiting a leader spent
 		// its processor on renting, and was paused for longer than its lease.
-		if looked += len(pr.Slots); total >= maxRent || looked > limit {
+		if looked += len(pr.Machines); total >= maxRent || looked > limit {
 			break
 		}
 		n := a.led.SomeUnits(j, wants[i], units)
@@ -113,10 +113,10 @@
 			if n == 0 {
 				continue
 			}
-			at, where, ok := pr.Find(j, n, "")
-			if fits && a.worthRenting(j, now, at, ok, now+boot, aims, claims[j] == placement.Promised) {
+			at, where, ok := pr.FindGang(j, n, "")
+			if fits && a.worthRenting(j, now, at, ok, now+boot, aims, claims[j] == placement.Entitled) {
 				zone := ""
-				have := pr.Ready(j, now+boot+5*time.Second)
+				have := pr.CountReadyByZone(j, now+boot+5*time.Second)
 				sum := 0
 				for _, k := range have {
 					sum += k
@@ -130,23 +130,23 @@
 						break
 					}
 				}
-				at, where, ok = pr.Find(j, n, "")
+				at, where, ok = pr.FindGang(j, n, "")
 			}
 			if ok {
 				for _, s := range where {
 					wanted(s)
 				}
-				pr.Take(j, at, where)
+				pr.BookGang(j, at, where)
 			}
 			continue
 		}
 		if n == 0 {
 			continue
 		}
-		q := pr.Queue(j)
+		q := pr.MachineQueue(j)
 		for tasks := 0; n > 0 && tasks < maxTasks; tasks, n = tasks+1, n-1 {
 			at, ok := q.First()
-			if fits && total < maxRent && a.worthRenting(j, now, at, ok, now+boot, aims, claims[j] == placement.Promised) {
+			if fits && total < maxRent && a.worthRenting(j, now, at, ok, now+boot, aims, claims[j] == placement.Entitled) {
 				if s := order(j, ""); s != nil {
 					q.Add(s)
 				}
@@ -154,7 +154,7 @@
 			if _, ok = q.First(); !ok {
 				break
 			}
-			wanted(q.Take())
+			wanted(q.Book())
 		}
 	}
 	// Headroom: idle machines that wait for work to come.
@@ -175,12 +175,12 @@
 	}
 }
 
-func (a *Actor) addNew(pr *placement.Projection, p pool) *placement.Slot {
+func (a *Actor) addNew(pr *placement.Projection, p pool) *placement.ProjectedMachine {
 	t := a.led.Types[p.typ]
 	if t == nil {
 		return nil
 	}
-	return pr.Add(&placement.Slot{Type: p.typ, Zone: p.zone, Spot: p.spot, Cap: t.Cap}, a.env.Now()+a.boot(p.typ, p.zone))
+	return pr.Add(&placement.ProjectedMachine{Type: p.typ, Zone: p.zone, Spot: p.spot, Cap: t.Cap}, a.env.Now()+a.boot(p.typ, p.zone))
 }
 
 // wanted is how many tasks of the job want a machine and may have one.
@@ -238,7 +238,7 @@
 	return best, ok
 }
 
-func (a *Actor) worthRenting(j *ledger.Job, now, queued time.Duration, ok bool, fresh time.Duration, aims *placement.Aims, within bool) bool {
+func (a *Actor) worthRenting(j *ledger.Job, now, queued time.Duration, ok bool, fresh time.Duration, aims *placement.Objectives, within bool) bool {
 	if !ok {
 		return true
 	}
--- a/internal/fleet/rent_test.go
+++ b/internal/fleet/rent_test.go
@@ -39,7 +39,7 @@
 			m.Heard, m.LastHeard = true, env.Now()
 			l.Describe(m, "g", "x", false)
 		}
-		v := &placement.View{Now: env.Now(), Silent: time.Minute, Holds: map[*ledger.Machine]*placement.Hold{}, Aims: placement.NewAims(nil)}
+		v := &placement.View{Now: env.Now(), SilentAfter: time.Minute, Holds: map[*ledger.Machine]*placement.Hold{}, Objectives: placement.NewObjectives(nil)}
 		v.Machines = placement.Candidates(l, v)
 		full := func(id string, tasks int, gpus float64) {
 			s := &model.Spec{ID: id, Team: "free", Tasks: tasks, Need: model.Need{GPUs: gpus}, EstimateS: 1000}
@@ -54,7 +54,7 @@
 		a.listOnce = true
 		a.refused[pool{"g", "x", false}], a.refused[pool{"g", "x", true}] = time.Hour, time.Hour
 		left := l.Order()[1:]
-		return testing.AllocsPerRun(1, func() { a.Rent(left, v, v.Aims, placement.Claims{}) })
+		return testing.AllocsPerRun(1, func() { a.Rent(left, v, v.Objectives, placement.Claims{}) })
 	}
 	if few, many := allocs(2000), allocs(20000); many > 1.5*few {
 		t.Errorf("%v allocations with 2,000 jobs, %v with 20,000", few, many)
--- a/internal/images/images.go
+++ b/internal/images/images.go
@@ -1,8 +1,8 @@
-// Package images remembers on every node which machine has fetched which image,
-// from the placements that the state service tells all of them. Workers don't
-// report their caches: without it, a new leader took every machine for cold, and
-// half of the gangs after a change of leader were started where their image had
-// to be fetched first (tbilisi grown, troubles). It is a hint and no more.
+// Package images tracks on every node which machine has fetched which image. It derives
+// this from the placements in the state service, because workers don't report their
+// caches. Otherwise a new leader would take all caches for empty: half of the gangs after
+// a change of leader were started on machines that had to fetch their image first. The
+// result is only a hint.
 package images
 
 import (
@@ -16,18 +16,18 @@
 )
 
 const (
-	// A task that has been on a machine for so long has its image there.
-	settled = 30 * time.Second
-	// What was not confirmed for so long is forgotten.
-	keepFor = time.Hour
-	// Every so many events what is old is looked for.
+	// A machine is assumed to have the image of a task that has been on it for this long.
+	assumedFetchedAfter = 30 * time.Second
+	// Entries that were not confirmed for this long are removed.
+	retention = time.Hour
+	// Old entries are removed after every pruneEvery changes.
 	pruneEvery = 2000
 )
 
-// Image on a machine.
+// Image is an image that a machine has.
 type Image struct {
 	GB float64
-	At time.Duration // last known to be there, on our steady clock
+	At time.Duration // when it was last known to be there, on the steady clock
 }
 
 type job struct {
@@ -37,51 +37,51 @@
 	chunks int
 }
 
-type slot struct {
+type taskPlace struct {
 	machine string
 	since   time.Duration
 }
 
-// Actor follows the placements.
+// Actor tracks images by following changes of placements.
 type Actor struct {
 	env    actor.Env
 	jobs   map[string]*job
-	chunks map[string][]slot
-	has    map[string]map[string]Image
+	chunks map[string][]taskPlace
+	cached map[string]map[string]Image
 	events int
 }
 
-// New makes the actor; it hears of all changes of the replica from then on.
+// New returns an Actor that subscribes to all changes of the store.
 func New(env actor.Env, store *statestore.Store) *Actor {
-	a := &Actor{env: env, jobs: map[string]*job{}, chunks: map[string][]slot{}, has: map[string]map[string]Image{}}
-	store.Subscribe(a.event)
+	a := &Actor{env: env, jobs: map[string]*job{}, chunks: map[string][]taskPlace{}, cached: map[string]map[string]Image{}}
+	store.Subscribe(a.onChange)
 	return a
 }
 
-func (a *Actor) event(key string, it *statestore.Item) {
+func (a *Actor) onChange(key string, it *statestore.Item) {
 	if a.events++; a.events%pruneEvery == 0 {
 		a.prune()
 	}
 	switch {
 	case strings.HasPrefix(key, ledger.JobPrefix):
-		a.record(strings.TrimPrefix(key, ledger.JobPrefix), it)
+		a.onRecord(strings.TrimPrefix(key, ledger.JobPrefix), it)
 	case strings.HasPrefix(key, ledger.ChunkPrefix):
 		rest := strings.TrimPrefix(key, ledger.ChunkPrefix)
 		if i := strings.LastIndexByte(rest, '/'); i > 0 {
 			if _, err := strconv.Atoi(rest[i+1:]); err == nil {
-				a.chunk(key, rest[:i], it)
+				a.onChunk(key, rest[:i], it)
 			}
 		}
 	}
 }
 
-func (a *Actor) record(id string, it *statestore.Item) {
+func (a *Actor) onRecord(id string, it *statestore.Item) {
 	if it == nil {
 		return
 	}
 	r, err := ledger.DecodeRecord(id, it.Value)
 	if err != nil {
-		return // others report it
+		return // other subscribers report the error
 	}
 	j := a.jobs[id]
 	if s := r.JobSpec(); j == nil && s != nil && r.Final == ledger.Open {
@@ -95,13 +95,13 @@
 	}
 }
 
-func (a *Actor) chunk(key, id string, it *statestore.Item) {
+func (a *Actor) onChunk(key, id string, it *statestore.Item) {
 	j := a.jobs[id]
 	if j == nil {
 		if it == nil {
 			return
 		}
-		// A chunk may come before its record, in key order.
+		// Changes arrive in key order, so a chunk may come before its record.
 		j = &job{}
 		a.jobs[id] = j
 	}
@@ -109,7 +109,7 @@
 	old, known := a.chunks[key]
 	if it == nil {
 		for _, s := range old {
-			if s.machine != "" && (j.done || now-s.since >= settled) {
+			if s.machine != "" && (j.done || now-s.since >= assumedFetchedAfter) {
 				a.confirm(s.machine, j, now)
 			}
 		}
@@ -128,9 +128,9 @@
 	if !known {
 		j.chunks++
 	}
-	next := make([]slot, len(tasks))
+	next := make([]taskPlace, len(tasks))
 	for i, t := range tasks {
-		var was slot
+		var was taskPlace
 		if i < len(old) {
 			was = old[i]
 		}
@@ -138,11 +138,11 @@
 			next[i] = was
 			continue
 		}
-		if was.machine != "" && (t.Done || now-was.since >= settled) {
+		if was.machine != "" && (t.Done || now-was.since >= assumedFetchedAfter) {
 			a.confirm(was.machine, j, now)
 		}
 		if t.Machine != "" {
-			next[i] = slot{t.Machine, now}
+			next[i] = taskPlace{t.Machine, now}
 		}
 	}
 	a.chunks[key] = next
@@ -152,43 +152,43 @@
 	if j.image == "" {
 		return
 	}
-	m := a.has[machine]
+	m := a.cached[machine]
 	if m == nil {
 		m = map[string]Image{}
-		a.has[machine] = m
+		a.cached[machine] = m
 	}
 	m[j.image] = Image{j.gb, now}
 }
 
 func (a *Actor) prune() {
 	now := a.env.Now()
-	for name, m := range a.has {
+	for name, m := range a.cached {
 		for image, x := range m {
-			if now-x.At > keepFor {
+			if now-x.At > retention {
 				delete(m, image)
 			}
 		}
 		if len(m) == 0 {
-			delete(a.has, name)
+			delete(a.cached, name)
 		}
 	}
 }
 
-// Snapshot tells what each machine is thought to have.
+// Snapshot returns the images that each machine is assumed to have.
 func (a *Actor) Snapshot() map[string]map[string]Image {
 	now := a.env.Now()
 	for key, tasks := range a.chunks {
 		rest := strings.TrimPrefix(key, ledger.ChunkPrefix)
 		if j := a.jobs[rest[:strings.LastIndexByte(rest, '/')]]; j != nil {
 			for _, s := range tasks {
-				if s.machine != "" && now-s.since >= settled {
+				if s.machine != "" && now-s.since >= assumedFetchedAfter {
 					a.confirm(s.machine, j, now)
 				}
 			}
 		}
 	}
-	out := make(map[string]map[string]Image, len(a.has))
-	for name, m := range a.has {
+	out := make(map[string]map[string]Image, len(a.cached))
+	for name, m := range a.cached {
 		c := make(map[string]Image, len(m))
 		for image, x := range m {
 			c[image] = x
--- a/internal/images/images_test.go
+++ b/internal/images/images_test.go
@@ -21,13 +21,13 @@
 func (e *env) After(time.Duration, func()) *actor.Timer { return nil }
 func (e *env) Call(actor.Call)                          {}
 
-// TestRemembersAcrossLeaders guards against a new leader that takes all machines
-// for cold: what others placed there, and what was over long ago, counts; a
-// fetch that was given up does not.
+// TestRemembersAcrossLeaders guards against a new leader that takes all image caches for
+// empty. Tasks that others placed count, also those that ended long ago; an interrupted
+// fetch doesn't.
 func TestRemembersAcrossLeaders(t *testing.T) {
 	e := &env{}
 	a := New(e, statestore.New(e, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 1}))
-	put := func(key, value string) { a.event(key, &statestore.Item{Value: []byte(value), Stamp: 1}) }
+	put := func(key, value string) { a.onChange(key, &statestore.Item{Value: []byte(value), Stamp: 1}) }
 	rec := func(id, image, final string) {
 		r := ledger.NewRecord(&model.Spec{ID: id, Tasks: 3, Image: image, ImageGB: 4}, 0, "", 48)
 		if r.Final = final; final == ledger.Done {
@@ -40,32 +40,32 @@
 	rec("j-1", "one", ledger.Open)
 	put(ledger.ChunkKey("j-1", 0), `{"v":2,"t":"1@vm-1 1@vm-2 0"}`)
 	if has("vm-1", "one") {
-		t.Error("the image can't be there yet")
+		t.Error("vm-1 has the image of a task that was just placed")
 	}
 	e.now = 10 * time.Second
-	put(ledger.ChunkKey("j-1", 0), `{"v":2,"t":"d 1 1@vm-3"}`) // done on vm-1, given up on vm-2
+	put(ledger.ChunkKey("j-1", 0), `{"v":2,"t":"d 1 1@vm-3"}`) // done on vm-1, stopped on vm-2
 	if !has("vm-1", "one") || has("vm-2", "one") || has("vm-3", "one") {
-		t.Errorf("after a task was done: %v", a.Snapshot())
+		t.Errorf("after a task ended: %v", a.Snapshot())
 	}
 	e.now = 50 * time.Second
 	if !has("vm-3", "one") {
-		t.Error("a task that has been there for 40 s has its image")
+		t.Error("vm-3 lacks the image of a task that has been there for 40 s")
 	}
 	rec("j-2", "two", ledger.Open)
 	put(ledger.ChunkKey("j-2", 0), `{"v":2,"t":"1@vm-1"}`)
 	e.now += time.Second
-	rec("j-2", "two", ledger.Done) // the end is written first, then the chunk goes
-	a.event(ledger.ChunkKey("j-2", 0), nil)
+	rec("j-2", "two", ledger.Done) // the end of the job is written before its chunk is deleted
+	a.onChange(ledger.ChunkKey("j-2", 0), nil)
 	if !has("vm-1", "two") || !has("vm-1", "one") {
-		t.Errorf("after a job was over: %v", a.Snapshot())
+		t.Errorf("after the job ended: %v", a.Snapshot())
 	}
-	a.event(ledger.ChunkKey("j-1", 0), nil)
+	a.onChange(ledger.ChunkKey("j-1", 0), nil)
 	if len(a.jobs) != 0 || len(a.chunks) != 0 {
-		t.Errorf("kept of jobs that are over: %v %v", a.jobs, a.chunks)
+		t.Errorf("entries of jobs that have ended: %v %v", a.jobs, a.chunks)
 	}
-	e.now += 2 * keepFor
+	e.now += 2 * retention
 	a.prune()
-	if len(a.has) != 0 {
-		t.Errorf("never forgotten: %v", a.has)
+	if len(a.cached) != 0 {
+		t.Errorf("images after the retention time: %v", a.cached)
 	}
 }
--- a/internal/intake/parts.go
+++ b/internal/intake/parts.go
@@ -132,18 +132,18 @@
 // its part is the first result. The others are handed theirs, beyond their base, as far
 // as it is surely free. What nobody wants stays with the leader.
 func (s *Issuer) Divide(now time.Duration, upTo, own float64) (mine float64, parts map[string]float64, issue uint64) {
-	shares := []*fair.Share{{Want: ahead(own)}}
+	shares := []*fair.Share{{Demand: ahead(own)}}
 	var ds []*dealt
 	for _, n := range s.nodes {
 		d := s.of[n]
-		sh := &fair.Share{Key: fair.Key{Team: n}, Want: ahead(d.want)}
+		sh := &fair.Share{Key: fair.Key{Team: n}, Demand: ahead(d.want)}
 		if !d.knows {
-			sh.Want = s.total / float64(len(s.nodes))
+			sh.Demand = s.total / float64(len(s.nodes))
 		}
 		ds, shares = append(ds, d), append(shares, sh)
 	}
 	fair.Divide(upTo, shares)
-	mine = shares[0].Got
+	mine = shares[0].Allocated
 	if !s.settled(now) {
 		return mine, nil, 0
 	}
@@ -156,7 +156,7 @@
 		}
 		had := d.most(now)
 		// More than before only of what nobody else may still be spending.
-		got := min(max(0, shares[i+1].Got-s.base()), had+max(0, free))
+		got := min(max(0, shares[i+1].Allocated-s.base()), had+max(0, free))
 		free -= max(0, got-had)
 		d.grants = append(d.grants, grant{issue: s.issue, rate: got, until: now + lasts})
 		parts[s.nodes[i]] = got
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -29,7 +29,7 @@
 	// and list entries may still be on their way; names are not used again.
 	Returned map[string]bool
 	// Estimates has what was learned of the owners' estimates.
-	Estimates estimates.Book
+	Estimates estimates.Classes
 	// Units has the counted resources.
 	Units *units.Book
 	// What was seen of spot machines being taken back: how many, and over how
@@ -75,7 +75,7 @@
 // New makes the ledger of a term from the replica.
 func New(env actor.Env, store *statestore.Store, token uint64, teams []settings.Team) *Ledger {
 	l := &Ledger{env: env, store: store, token: token, Jobs: map[string]*Job{}, Machines: map[string]*Machine{},
-		Teams: map[string]*Team{}, Returned: map[string]bool{}, Estimates: estimates.Book{}, Units: units.NewBook(), Types: map[string]*model.MachineType{}, MaxOps: store.Config().TxnOps}
+		Teams: map[string]*Team{}, Returned: map[string]bool{}, Estimates: estimates.Classes{}, Units: units.NewBook(), Types: map[string]*model.MachineType{}, MaxOps: store.Config().TxnOps}
 	for _, t := range teams {
 		l.Teams[t.Name] = &Team{Team: t}
 	}
@@ -147,11 +147,11 @@
 	}
 	took := l.env.Now() - p.RunSince
 	if j.Spec.Kind == model.Array || p.Task == 0 {
-		j.class.Ran(j.Spec.EstimateS, took)
+		j.class.RecordRun(j.Spec.EstimateS, took)
 	}
 	if j.Spec.Kind == model.Array && !p.Vague {
 		if ratio, ok := j.runs.Add(took); ok {
-			p.M.Pace.Ran(ratio)
+			p.M.Pace.RecordRun(ratio)
 		}
 	}
 }
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -162,16 +162,16 @@
 			shares[k] = &fair.Share{Key: k}
 			list = append(list, shares[k])
 		}
-		shares[k].Want += float64(len(j.Tasks))
+		shares[k].Demand += float64(len(j.Tasks))
 		sum += float64(len(j.Tasks))
 	}
 	if sum <= room {
 		return nil
 	}
 	fair.ByTeam(room, list, t.n.weight)
-	slices.SortStableFunc(list, func(a, b *fair.Share) int { return cmp.Compare(b.Want-b.Got, a.Want-a.Got) })
+	slices.SortStableFunc(list, func(a, b *fair.Share) int { return cmp.Compare(b.Demand-b.Allocated, a.Demand-a.Allocated) })
 	for _, s := range list {
-		if s.Want > s.Got && len(out) < mostShut {
+		if s.Demand > s.Allocated && len(out) < mostShut {
 			out = append(out, [2]string{s.Key.Team, s.Key.Class})
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,7 +56,7 @@
 	holder    *intake.Holder
 	marks     map[string]uint64
 	weight    func(team string) float64
-	floors    *placement.Floors
+	floors    *placement.MinShares
 	oldLeader time.Duration
 	// seekers has the workers that came here looking for the leader.
 	seekers map[string]time.Duration
@@ -85,7 +85,7 @@
 	fleet     *fleet.Actor
 	rollouts  *rollout.Actor
 	units     *units.Actor
-	queues    *placement.Queues
+	queues    *placement.UnitQueues
 	lastCount time.Duration
 	scheduled bool
 	closed    bool
@@ -102,7 +102,7 @@
 	cleared, preempted map[*ledger.Job]time.Duration
 	left               []*ledger.Job
 	holds              map[*ledger.Machine]*placement.Hold
-	aims               *placement.Aims
+	aims               *placement.Objectives
 	// What all nodes take in: how it is divided, by how much it is eased, what is shut.
 	issuer  *intake.Issuer
 	ends    *cancellation.Listener
@@ -161,7 +161,7 @@
 	n.holder = intake.NewHolder(env.Rand().Uint64())
 	n.weight = opt.Sharing.Weight(f.Teams)
 	if opt.Sharing != nil {
-		n.floors = &placement.Floors{Sharing: opt.Sharing, Weight: n.weight}
+		n.floors = &placement.MinShares{Sharing: opt.Sharing, Weight: n.weight}
 	}
 	n.gate = intake.NewGate(env.Rand(), n.weight)
 	n.gate.Room, n.gate.Rate = n.store.DoorOpen, n.store.DoorRate
@@ -359,7 +359,7 @@
 func (n *Node) lead(token uint64) {
 	f := &n.set.Facts
 	base, _ := leader.ReadBase(n.store) // else we would not have been elected
-	t := &term{n: n, token: token + base.Token, base: base, cleared: map[*ledger.Job]time.Duration{}, preempted: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastMoves: -consolidateEvery, aims: placement.NewAims(f.Objectives)}
+	t := &term{n: n, token: token + base.Token, base: base, cleared: map[*ledger.Job]time.Duration{}, preempted: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastMoves: -consolidateEvery, aims: placement.NewObjectives(f.Objectives)}
 	t.issuer, t.ease = intake.NewIssuer(n.env.Now(), n.others(), n.store.OthersWrites()), 1
 	t.ends = n.listen(t.token)
 	t.led = ledger.New(n.env, n.store, token, f.Teams)
@@ -373,7 +373,7 @@
 		}
 	}
 	t.units = units.NewActor(n.env, n.store, token, t.led.Units, n.opt.Declared)
-	t.queues = placement.NewQueues()
+	t.queues = placement.NewUnitQueues()
 	t.lastCount = n.env.Now()
 	t.units.Load()
 	t.led.Load()
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -61,31 +61,31 @@
 	}
 	// Urgent starts are written first: only what would queue behind all others waits.
 	urgentOnly := t.led.Behind(model.Low) > behindFor
-	v := &placement.View{Now: now, Silent: 3 * seconds(t.n.set.Facts.Workers.ReportS), Report: seconds(t.n.set.Facts.Workers.ReportS), Holds: t.holds, Aims: t.aims}
+	v := &placement.View{Now: now, SilentAfter: 3 * seconds(t.n.set.Facts.Workers.ReportS), ReportInterval: seconds(t.n.set.Facts.Workers.ReportS), Holds: t.holds, Objectives: t.aims}
 	v.Machines = placement.Candidates(t.led, v)
 	if t.floored == nil || now-t.lastFloors >= floorsEvery {
 		t.lastFloors = now // it looks at all jobs
-		t.floored = t.n.floors.Within(t.led, t.aims, v.Whole(), now)
+		t.floored = t.n.floors.JobsWithin(t.led, t.aims, v.TotalCapacity(), now)
 	}
 	claims := placement.NewClaims(t.led, t.aims, t.floored, now)
 	for _, j := range t.led.Order() {
-		t.fleet.Arrived(j, t.aims.Prompt(j), claims[j] == placement.Promised)
+		t.fleet.Arrived(j, t.aims.HasWaitObjective(j), claims[j] == placement.Entitled)
 	}
-	placement.Release(v)
+	placement.ReleaseHolds(v)
 	order := placement.Order(t.led, v, claims)
 	if urgentOnly {
 		order = slices.DeleteFunc(order, func(j *ledger.Job) bool { return j.Spec.Priority < model.High })
 	}
 	t.queues.Refresh(t.led, order, now)
 	v.Units = t.queues
-	stops := placement.NewStops(t.led, v, claims)
+	stops := placement.NewPreemptor(t.led, v, claims)
 	for _, j := range order {
-		if t.aims.Prompt(j) && j.Spec.Kind == model.Gang && !j.Faulty() && t.mayStopFor(j, t.cleared) {
-			t.evict(j, stops.Clear(j))
+		if t.aims.HasWaitObjective(j) && j.Spec.Kind == model.Gang && !j.Faulty() && t.mayStopFor(j, t.cleared) {
+			t.evict(j, stops.PreemptWarm(j))
 		}
 	}
 	t.left = placement.Run(t.led, v, order, func(j *ledger.Job) {
-		if (t.aims.Prompt(j) || claims[j].Guaranteed()) && t.mayStopFor(j, t.preempted) {
+		if (t.aims.HasWaitObjective(j) || claims[j].Guaranteed()) && t.mayStopFor(j, t.preempted) {
 			t.evict(j, stops.Preempt(j, false))
 		}
 	})
--- a/internal/placement/aims.go
+++ b/internal/placement/aims.go
@@ -8,30 +8,30 @@
 	"brooklb/internal/settings"
 )
 
-// Aims knows by when a job's tasks should start, from the operators'
-// objectives for its class, its deadline and its owner's estimate.
-type Aims struct {
-	wait     map[string][]float64
-	finished map[string][]float64
-	deadline map[string][]float64
-	// guarantee is within how many seconds work inside a team's guarantee
-	// should start; 0: not stated.
+// Objectives derives the times by which the tasks of a job should start from the
+// operators' objectives for its class, its deadline and its estimated run time.
+type Objectives struct {
+	wait       map[string][]float64
+	completion map[string][]float64
+	deadline   map[string][]float64
+	// guarantee is the number of seconds within which jobs covered by a team's guarantee
+	// should start; 0 means that there is no such objective.
 	guarantee float64
 }
 
-// Estimates are often wrong by half: a job is taken to run this much longer
-// than its owner thinks when it must be over by a certain time.
+// estimateSlack multiplies the estimated run time of a job that must end by a certain
+// time: the estimates of owners are often wrong by half.
 const estimateSlack = 1.5
 
-// NewAims reads the objectives.
-func NewAims(os []settings.Objective) *Aims {
-	a := &Aims{wait: map[string][]float64{}, finished: map[string][]float64{}, deadline: map[string][]float64{}}
+// NewObjectives groups the configured objectives by kind and class.
+func NewObjectives(os []settings.Objective) *Objectives {
+	a := &Objectives{wait: map[string][]float64{}, completion: map[string][]float64{}, deadline: map[string][]float64{}}
 	for _, o := range os {
 		switch o.Kind {
 		case "wait":
 			a.wait[o.Class] = append(a.wait[o.Class], o.WithinS)
 		case "finished":
-			a.finished[o.Class] = append(a.finished[o.Class], o.WithinS)
+			a.completion[o.Class] = append(a.completion[o.Class], o.WithinS)
 		case "deadline":
 			t := o.Times
 			if t <= 0 {
@@ -45,12 +45,13 @@
 	return a
 }
 
-// Prompt reports whether the class is to start within a stated time.
-func (a *Aims) Prompt(j *ledger.Job) bool { return len(a.wait[j.Spec.Class]) > 0 }
+// HasWaitObjective reports whether an objective limits how long jobs of this class wait.
+func (a *Objectives) HasWaitObjective(j *ledger.Job) bool { return len(a.wait[j.Spec.Class]) > 0 }
 
-// StartBy lists the times (on the steady clock) by which the job's tasks have
-// to run for the aims to be met.
-func (a *Aims) StartBy(j *ledger.Job, within bool) []time.Duration {
+// StartBy returns the times (on the steady clock) by which the job's tasks must run to
+// meet its objectives, one per objective. within says whether the guarantee covers the
+// job.
+func (a *Objectives) StartBy(j *ledger.Job, within bool) []time.Duration {
 	var out []time.Duration
 	add := func(s float64) { out = append(out, j.Since+time.Duration(s*float64(time.Second))) }
 	c := j.Spec.Class
@@ -58,7 +59,7 @@
 		add(w)
 	}
 	run := j.EstimateS() * estimateSlack
-	for _, f := range a.finished[c] {
+	for _, f := range a.completion[c] {
 		add(f - run)
 	}
 	if j.Spec.DeadlineS > 0 {
@@ -76,18 +77,19 @@
 	return out
 }
 
-// guaranteed is until when the job's tasks may begin to run and still meet the
-// aim for work within a guarantee; without such an aim, always.
-func (a *Aims) guaranteed(j *ledger.Job) time.Duration {
+// guaranteeDeadline returns the time by which the job's tasks must start to meet the
+// objective for guarantees. Without such an objective it lies in the far future.
+func (a *Objectives) guaranteeDeadline(j *ledger.Job) time.Duration {
 	if a.guarantee <= 0 {
 		return math.MaxInt64 / 2
 	}
 	return j.Since + time.Duration(a.guarantee*float64(time.Second))
 }
 
-// Lost reports whether no aim of the job can be met any more, even if it runs
-// for clearly less than its owner thinks. A job without aims is never lost.
-func (a *Aims) Lost(j *ledger.Job, within bool, now time.Duration) bool {
+// Missed reports whether the job can't meet any of its objectives any more, even if it
+// runs for clearly less time than its owner estimated. It is false for a job without
+// objectives.
+func (a *Objectives) Missed(j *ledger.Job, within bool, now time.Duration) bool {
 	ts := a.StartBy(j, within)
 	early := time.Duration(j.EstimateS() * (estimateSlack - 0.7) * float64(time.Second))
 	prompt := len(a.wait[j.Spec.Class])
--- a/internal/placement/choices.go
+++ b/internal/placement/choices.go
@@ -6,55 +6,57 @@
 	"brooklb/internal/ledger"
 )
 
-// choices are the machines that have room for a task of a job, the best first.
-type choices struct {
-	cs    []choice
-	taken []*ledger.Machine
+// candidateHeap holds the machines that have room for a task of a job, best first.
+type candidateHeap struct {
+	candidates []candidate
+	taken      []*ledger.Machine
 }
 
-type choice struct {
-	m *ledger.Machine
-	s float64
+type candidate struct {
+	machine *ledger.Machine
+	score   float64
 }
 
-func better(a, b choice) bool {
-	if a.s != b.s {
-		return a.s > b.s
+func better(a, b candidate) bool {
+	if a.score != b.score {
+		return a.score > b.score
 	}
-	return a.m.Name < b.m.Name
+	return a.machine.Name < b.machine.Name
 }
 
-func (h *choices) Len() int { return len(h.cs) }
+func (h *candidateHeap) Len() int { return len(h.candidates) }
 
-func (h *choices) Less(a, b int) bool { return better(h.cs[a], h.cs[b]) }
+func (h *candidateHeap) Less(a, b int) bool { return better(h.candidates[a], h.candidates[b]) }
 
-func (h *choices) Swap(a, b int) { h.cs[a], h.cs[b] = h.cs[b], h.cs[a] }
+func (h *candidateHeap) Swap(a, b int) {
+	h.candidates[a], h.candidates[b] = h.candidates[b], h.candidates[a]
+}
 
-func (h *choices) Push(x any) { h.cs = append(h.cs, x.(choice)) }
+func (h *candidateHeap) Push(x any) { h.candidates = append(h.candidates, x.(candidate)) }
 
-func (h *choices) Pop() any {
-	x := h.cs[len(h.cs)-1]
-	h.cs = h.cs[:len(h.cs)-1]
+func (h *candidateHeap) Pop() any {
+	x := h.candidates[len(h.candidates)-1]
+	h.candidates = h.candidates[:len(h.candidates)-1]
 	return x
 }
 
-// next takes the best machine for the task out of the heap. Those that only
-// this task must not use are put back.
-func (h *choices) next(v *View, j *ledger.Job, task int, count map[string]int) *ledger.Machine {
+// next removes the best machine for the task from the heap and returns it, or nil. It puts
+// back the machines that only this task can't use.
+func (h *candidateHeap) next(v *View, j *ledger.Job, task int, count map[string]int) *ledger.Machine {
 	t := &j.Tasks[task]
-	var back []choice
+	var unusable []candidate
 	defer func() {
-		for _, c := range back {
+		for _, c := range unusable {
 			heap.Push(h, c)
 		}
 	}()
-	for len(h.cs) > 0 {
-		c := heap.Pop(h).(choice)
-		if c.m == t.Avoids(v.Now) || !zoneAllows(j, count, c.m.Zone) || !j.PortFree(task, c.m) {
-			back = append(back, c)
+	for len(h.candidates) > 0 {
+		c := heap.Pop(h).(candidate)
+		if c.machine == t.Avoids(v.Now) || !zoneAllows(j, count, c.machine.Zone) || !j.PortFree(task, c.machine) {
+			unusable = append(unusable, c)
 			continue
 		}
-		return c.m
+		return c.machine
 	}
 	return nil
 }
--- a/internal/placement/claims.go
+++ b/internal/placement/claims.go
@@ -9,92 +9,98 @@
 	"brooklb/internal/model"
 )
 
-// Claim is what a job may ask of its team's guarantee. A larger one goes first,
-// whatever the priorities, and is never stopped for a smaller one.
+// Claim ranks a job by what its team's guarantee and the minimum share of its class cover.
+// A job with a larger claim goes first, whatever the priorities, and is never stopped for
+// a job with a smaller claim.
 type Claim uint8
 
 const (
-	// NoClaim: beyond the guarantee.
+	// NoClaim means that neither a guarantee nor a minimum share covers the job.
 	NoClaim Claim = iota
-	// PassedOn: of the guarantee there is something left for it.
-	PassedOn
-	// Floor: it is within the floor of its class and team (Floors), not within its
-	// team's guarantee.
-	Floor
-	// FloorWithin: it is within both.
-	FloorWithin
-	// Promised: it fits into the guarantee together with the team's earlier
-	// unfinished jobs, and has not begun, or only just.
-	Promised
+	// SpareGuarantee means that the job gets a part of the guarantee that entitled jobs
+	// leave.
+	SpareGuarantee
+	// MinShare means that the job is within the minimum share of its class and team
+	// (MinShares), but not within its team's guarantee.
+	MinShare
+	// MinShareAndGuarantee means that the job is within both.
+	MinShareAndGuarantee
+	// Entitled means that the job fits into the guarantee together with the team's earlier
+	// unfinished jobs, and its tasks have not all begun or the time to start them has not
+	// passed.
+	Entitled
 )
 
-// Claims are the jobs with a claim on their team's guarantee, or on a floor.
+// Claims maps jobs to their claims. Jobs without a claim are missing.
 type Claims map[*ledger.Job]Claim
 
-// Guaranteed reports whether the claim is on a guarantee: room is made for it. A floor
-// by itself takes what falls free; when machines were held for it, too, a gang that
-// waited for units found none (TestLargeRequest).
-func (c Claim) Guaranteed() bool { return c != NoClaim && c != Floor }
+// Guaranteed reports whether the claim is on a guarantee, for which running tasks may be
+// stopped. A job with just a minimum share only takes capacity that becomes free: when
+// machines were also held for it, a gang that waited for units found none
+// (TestLargeRequest).
+func (c Claim) Guaranteed() bool { return c != NoClaim && c != MinShare }
 
-// floored reports whether the claim is on a floor.
-func (c Claim) floored() bool { return c == Floor || c == FloorWithin }
+// hasMinShare reports whether the claim is on a minimum share.
+func (c Claim) hasMinShare() bool { return c == MinShare || c == MinShareAndGuarantee }
 
-// NewClaims divides the guarantees. First come the jobs that fit in together
-// with their team's earlier unfinished jobs, until all their tasks have begun. What
-// is left is passed on to the team's other jobs in the order in which they are
-// placed, as long as they can meet an aim: when the oldest had it, large jobs
-// that were late or about to be held all of a team's guarantee for minutes, and
-// its later jobs waited until they were lost as well (tbilisi fleet, busy: of
-// call-score submitted in the burst 2% met their deadline). Jobs within a floor come
-// first among those, and have a claim of their own where nothing of the guarantee is
-// left: a flood of urgent work starved the class below it (tbilisi fleet, priority
-// flood: 0.37 of call-score done). in are the jobs within a floor.
-func NewClaims(l *ledger.Ledger, aims *Aims, in map[*ledger.Job]bool, now time.Duration) Claims {
+// NewClaims divides the guarantees of the teams among their jobs; in holds the jobs within
+// a minimum share. First come the jobs that fit in together with their team's earlier
+// unfinished jobs, until all their tasks have begun. The rest of a guarantee goes to the
+// team's other jobs that can still meet an objective, in the order in which they are
+// placed. When the oldest jobs had it, large jobs that were late or about to be late held
+// all of a team's guarantee for minutes, and its later jobs missed their objectives as
+// well: 2% of the jobs submitted in a burst met their deadline.
+//
+// Jobs within a minimum share come first among those others, and have a claim of their own
+// if nothing of the guarantee is left. Without that, a burst of urgent jobs starved the
+// class below it: only 37% of its jobs completed.
+func NewClaims(l *ledger.Ledger, objectives *Objectives, in map[*ledger.Job]bool, now time.Duration) Claims {
 	claims := Claims{}
-	use, claimed := map[*ledger.Team]model.Need{}, map[*ledger.Team]model.Need{}
+	inOrder, claimed := map[*ledger.Team]model.Need{}, map[*ledger.Team]model.Need{}
 	var rest []*ledger.Job
 	need := func(j *ledger.Job) model.Need { return j.Spec.Need.Times(float64(j.Size())) }
 	for j := range in {
-		claims[j] = Floor
+		claims[j] = MinShare
 	}
 	for _, j := range l.Order() {
 		t := l.Teams[j.Spec.Team]
 		if t == nil || j.Final != ledger.Open || j.Faulty() || !t.Guarantees(model.Need{}) {
 			continue
 		}
-		if u := use[t].Add(need(j)); t.Guarantees(u) {
-			use[t] = u
-			// What is stopped soon after its start has not started for the aim, and
-			// what was late for it is still owed a start.
-			if now <= aims.guaranteed(j)+freshStart || j.Begun < j.NDone+j.Size() {
-				claims[j] = Promised
+		if u := inOrder[t].Add(need(j)); t.Guarantees(u) {
+			inOrder[t] = u
+			// The objective doesn't count a start that is stopped within freshStart. A job
+			// that missed the objective stays entitled until all its tasks have started.
+			if now <= objectives.guaranteeDeadline(j)+freshStart || j.Begun < j.NDone+j.Size() {
+				claims[j] = Entitled
 				claimed[t] = claimed[t].Add(need(j))
 				continue
 			}
 		}
-		if in[j] || !aims.Lost(j, false, now) {
+		if in[j] || !objectives.Missed(j, false, now) {
 			rest = append(rest, j)
 		}
 	}
 	slices.SortStableFunc(rest, func(a, b *ledger.Job) int {
 		if in[a] != in[b] {
-			return first(in[a])
+			return trueFirst(in[a])
 		}
-		return cmp.Or(cmp.Compare(b.Spec.Priority, a.Spec.Priority), cmp.Compare(work(a), work(b)))
+		return cmp.Or(cmp.Compare(b.Spec.Priority, a.Spec.Priority), cmp.Compare(remainingWork(a), remainingWork(b)))
 	})
 	for _, j := range rest {
 		t := l.Teams[j.Spec.Team]
 		if u := claimed[t].Add(need(j)); t.Guarantees(u) {
-			claims[j], claimed[t] = PassedOn, u
+			claims[j], claimed[t] = SpareGuarantee, u
 			if in[j] {
-				claims[j] = FloorWithin
+				claims[j] = MinShareAndGuarantee
 			}
 		}
 	}
 	return claims
 }
 
-// work is how much a job's tasks that are not done take, in its owner's estimate.
-func work(j *ledger.Job) float64 {
-	return float64(j.Size()) * size(j) * max(1, j.EstimateS())
+// remainingWork estimates the work of the job's unfinished tasks, in seconds times the
+// CPUs or GPUs of a task.
+func remainingWork(j *ledger.Job) float64 {
+	return float64(j.Size()) * taskSize(j) * max(1, j.EstimateS())
 }
--- a/internal/placement/floors.go
+++ b/internal/placement/floors.go
@@ -12,15 +12,17 @@
 	"brooklb/internal/settings"
 )
 
-// Floors say how much of what runs each class of each team gets in any case.
-type Floors struct {
+// MinShares computes the minimum share of the cluster that each class of each team gets,
+// called its floor in the settings.
+type MinShares struct {
 	*settings.Sharing
-	// Weight of a team; nil: alike.
+	// Weight returns the weight of a team; nil means that all have the same.
 	Weight func(team string) float64
 }
 
-// share is which part of the whole n is, by what it needs most of.
-func share(n, whole model.Need) float64 {
+// dominantShare returns which part of the whole n needs, of the resource that it needs the
+// largest part of.
+func dominantShare(n, whole model.Need) float64 {
 	s := 0.0
 	for _, x := range [][2]float64{{n.CPUs, whole.CPUs}, {n.GPUs, whole.GPUs}, {n.MemGB, whole.MemGB}} {
 		if x[1] > 0 {
@@ -30,17 +32,18 @@
 	return s
 }
 
-// startup is what a task takes besides its run, about: the fetch, the start.
-const startup = 10
+// startupS is the approximate time a task takes to fetch its image and start, in seconds.
+const startupS = 10
 
-// lostRank is how much larger a job counts that can meet no aim any more.
-const lostRank = 8
+// missedRankFactor multiplies the rank of a job that can't meet any objective any more, so
+// that it sorts like a larger one.
+const missedRankFactor = 8
 
-// Within finds the jobs that are within the floor of their class and team. All of it
-// follows from the unfinished jobs and when they were accepted, which are durable: a
-// new leader comes to the same. A class that waits collects unfinished jobs, so that
-// its floor grows until as much is served as the smallest part of its jobs needs.
-func (f *Floors) Within(l *ledger.Ledger, aims *Aims, whole model.Need, now time.Duration) map[*ledger.Job]bool {
+// JobsWithin returns the jobs within the minimum share of their class and team. The result
+// depends only on the unfinished jobs and when they were accepted, which are durable, so
+// that a new leader computes the same. The unfinished jobs of a waiting class accumulate,
+// so that its minimum share grows until it meets the demand of the smallest of them.
+func (f *MinShares) JobsWithin(l *ledger.Ledger, objectives *Objectives, whole model.Need, now time.Duration) map[*ledger.Job]bool {
 	if f == nil || f.Most <= 0 {
 		return nil
 	}
@@ -50,7 +53,7 @@
 	}
 	groups := map[fair.Key][]member{}
 	var keys []fair.Key
-	tops := map[fair.Key]model.Priority{}
+	topPriority := map[fair.Key]model.Priority{}
 	highest := model.Low
 	waiting := false
 	for _, j := range l.Order() {
@@ -62,12 +65,12 @@
 		if groups[k] == nil {
 			keys = append(keys, k)
 		}
-		tops[k] = max(tops[k], j.Spec.Priority)
+		topPriority[k] = max(topPriority[k], j.Spec.Priority)
 		highest = max(highest, j.Spec.Priority)
-		// What has waited long counts as smaller, so that large ones don't wait for ever.
-		rank := work(j) / (1 + max(0, now-j.Since).Seconds()/starve.Seconds())
-		if aims.Lost(j, false, now) {
-			rank *= lostRank // what can still be in time first: the floor serves as many either way
+		// The rank falls with the time waited, so that large jobs do not starve.
+		rank := remainingWork(j) / (1 + max(0, now-j.Since).Seconds()/starvationTime.Seconds())
+		if objectives.Missed(j, false, now) {
+			rank *= missedRankFactor // prefer jobs that can still be on time: as many jobs get a share either way
 		}
 		groups[k] = append(groups[k], member{j, rank})
 	}
@@ -75,18 +78,18 @@
 		return nil
 	}
 	shares := make([]*fair.Share, len(keys))
-	// The most urgent classes go first anyway. They divide a part of their own, or what
-	// a flood of them wants would leave the others no floor.
+	// The most urgent classes divide a part of their own. Otherwise many jobs of theirs
+	// would leave the others no minimum share, although urgent jobs go first in any case.
 	var urgent, rest []*fair.Share
 	for i, k := range keys {
 		g := groups[k]
 		slices.SortStableFunc(g, func(a, b member) int { return cmp.Compare(a.rank, b.rank) })
 		s := &fair.Share{Key: k}
 		for _, m := range g[:int(math.Ceil(f.Part*float64(len(g))))] {
-			s.Want += share(m.j.Spec.Need, whole) * float64(m.j.Size()) * (m.j.EstimateS() + startup) / f.Over.Seconds()
+			s.Demand += dominantShare(m.j.Spec.Need, whole) * float64(m.j.Size()) * (m.j.EstimateS() + startupS) / f.Over.Seconds()
 		}
 		shares[i] = s
-		if tops[k] == highest {
+		if topPriority[k] == highest {
 			urgent = append(urgent, s)
 		} else {
 			rest = append(rest, s)
@@ -96,13 +99,13 @@
 	fair.ByTeam(f.Most, rest, f.Weight)
 	in := map[*ledger.Job]bool{}
 	for i, k := range keys {
-		held := 0.0
+		used := 0.0
 		for _, m := range groups[k] {
-			n := share(m.j.Spec.Need, whole) * float64(m.j.Size())
-			if held > 0 && held+n > shares[i].Got {
+			n := dominantShare(m.j.Spec.Need, whole) * float64(m.j.Size())
+			if used > 0 && used+n > shares[i].Allocated {
 				break
 			}
-			held += n
+			used += n
 			in[m.j] = true
 		}
 	}
--- a/internal/placement/floors_test.go
+++ b/internal/placement/floors_test.go
@@ -11,11 +11,11 @@
 	"brooklb/internal/settings"
 )
 
-// TestFloors holds floors to their bounds: together no more than their part of the
-// cluster, apart from the first job of each class; each class that has unfinished jobs
-// has one; the smallest jobs first.
+// TestFloors checks the minimum shares: together they are no more than their part of the
+// cluster, apart from the first job of each class; each class with unfinished jobs has
+// one; and the smallest jobs come first.
 func TestFloors(t *testing.T) {
-	f := &Floors{Sharing: settings.DefaultSharing()}
+	f := &MinShares{Sharing: settings.DefaultSharing()}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		w := newWorld(seed, 4+r.IntN(60))
@@ -24,32 +24,32 @@
 				Need: model.Need{CPUs: 1, GPUs: float64(1 + r.IntN(4)), MemGB: 1}, EstimateS: float64(10 + r.IntN(300)), Priority: model.Priority(r.IntN(4))}
 			w.job(s)
 		}
-		whole := w.v.Whole()
-		in := f.Within(w.l, w.v.Aims, whole, w.v.Now)
+		whole := w.v.TotalCapacity()
+		in := f.JobsWithin(w.l, w.v.Objectives, whole, w.v.Now)
 		sum, first, seen := 0.0, map[fair.Key]float64{}, map[fair.Key]bool{}
 		for _, j := range w.l.Order() {
 			k := fair.Key{Team: j.Spec.Team, Class: j.Spec.Class}
 			seen[k] = true
 			if in[j] {
-				n := share(j.Spec.Need, whole) * float64(j.Size())
+				n := dominantShare(j.Spec.Need, whole) * float64(j.Size())
 				sum += n
 				first[k] = max(first[k], n)
 			}
 			for _, o := range w.l.Order() {
-				if in[j] && !in[o] && o.Spec.Team == k.Team && o.Spec.Class == k.Class && work(o) < work(j) {
-					t.Fatalf("seed %d: a larger job is within the floor, a smaller isn't", seed)
+				if in[j] && !in[o] && o.Spec.Team == k.Team && o.Spec.Class == k.Class && remainingWork(o) < remainingWork(j) {
+					t.Fatalf("seed %d: a larger job is within the minimum share and a smaller one is not", seed)
 				}
 			}
 		}
-		most := 2 * f.Most // the most urgent classes', and the others'
+		most := 2 * f.Most // one part for the most urgent classes and one for the others
 		for _, n := range first {
 			most += n
 		}
 		if sum > most+1e-9 {
-			t.Errorf("seed %d: floors of %.2f of the cluster", seed, sum)
+			t.Errorf("seed %d: minimum shares add up to %.2f of the cluster", seed, sum)
 		}
 		if len(first) != len(seen) {
-			t.Errorf("seed %d: %d of %d classes have a floor", seed, len(first), len(seen))
+			t.Errorf("seed %d: %d of %d classes have a minimum share", seed, len(first), len(seen))
 		}
 	}
 }
@@ -64,25 +64,25 @@
 	for range 200 {
 		honest = append(honest, w.job(model.Spec{Team: "blue", Class: "c", Tasks: 4, Need: model.Need{GPUs: 1}, EstimateS: 100}))
 	}
-	f := &Floors{Sharing: settings.DefaultSharing()}
-	in := f.Within(w.l, w.v.Aims, w.v.Whole(), w.v.Now)
+	f := &MinShares{Sharing: settings.DefaultSharing()}
+	in := f.JobsWithin(w.l, w.v.Objectives, w.v.TotalCapacity(), w.v.Now)
 	n := 0
 	for _, j := range honest {
 		if in[j] {
 			n++
 		}
 	}
-	whole := w.v.Whole()
+	whole := w.v.TotalCapacity()
 	if got := float64(n*4) / whole.GPUs; got < 0.45*f.Most {
-		t.Errorf("the team with one class has a floor of %.2f", got)
+		t.Errorf("the team with one class has a minimum share of %.2f", got)
 	}
 }
 
-// TestFloorIsKept guards what runs within a floor from urgent work, also of its own
-// team, which stops what is beyond it.
+// TestFloorIsKept checks that an urgent job, also one of the same team, can't stop tasks
+// within a minimum share, but can stop tasks beyond it.
 func TestFloorIsKept(t *testing.T) {
 	w := newWorld(1, 10)
-	w.v.Aims = NewAims([]settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 60}})
+	w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 60}})
 	var low []*ledger.Job
 	for range 10 {
 		low = append(low, w.job(model.Spec{Team: "free", Class: "low", Tasks: 8, Need: model.Need{GPUs: 1}, EstimateS: 100, Image: "i", CheckpointS: 5}))
@@ -95,30 +95,31 @@
 	for _, floors := range []bool{true, false} {
 		in := map[*ledger.Job]bool{}
 		if floors {
-			in = w.floored()
+			in = w.jobsWithinMinShares()
 		}
-		st := NewStops(w.l, w.v, NewClaims(w.l, w.v.Aims, in, w.v.Now))
+		st := NewPreemptor(w.l, w.v, NewClaims(w.l, w.v.Objectives, in, w.v.Now))
 		kept, stoppable := 0, 0
 		for _, j := range low {
 			if p := j.Tasks[0].P; p != nil {
-				// Urgent work that is itself within a floor yields nothing either.
-				if st.mayStop(urgent[9], p) {
+				// The urgent job may itself be within a minimum share.
+				if st.mayPreempt(urgent[9], p) {
 					stoppable++
 				} else {
 					kept++
 				}
-				if in[j] == st.mayStop(urgent[9], p) {
-					t.Errorf("floors %v: a job within its floor: %v, may be stopped: %v", floors, in[j], !in[j])
+				if in[j] == st.mayPreempt(urgent[9], p) {
+					t.Errorf("minimum shares %v: a job within its minimum share: %v, may be stopped: %v", floors, in[j], !in[j])
 				}
 			}
 		}
 		if floors && (kept == 0 || stoppable == 0) || !floors && kept > 0 {
-			t.Errorf("floors %v: %d kept, %d may be stopped", floors, kept, stoppable)
+			t.Errorf("minimum shares %v: %d kept, %d may be stopped", floors, kept, stoppable)
 		}
 	}
 }
 
-// flooded is a full fleet of 1,300 machines with 10,000 jobs and 250,000 tasks waiting.
+// flooded returns a full cluster of 1,300 machines with 10,000 jobs and 250,000 tasks
+// waiting.
 func flooded() *world {
 	w, r := newWorld(1, 1300), rand.New(rand.NewPCG(1, 1))
 	full := w.job(model.Spec{Team: "free", Tasks: 10400 - 8, Need: model.Need{CPUs: 1, GPUs: 1}, Image: "i", CheckpointS: 5, EstimateS: 60, Spot: true})
@@ -130,21 +131,22 @@
 	return w
 }
 
-// BenchmarkFloors measures the floors of a flooded fleet.
+// BenchmarkFloors measures computing the minimum shares on an overloaded cluster.
 func BenchmarkFloors(b *testing.B) {
 	w := flooded()
 	b.ReportAllocs()
 	for b.Loop() {
-		w.floored()
+		w.jobsWithinMinShares()
 	}
 }
 
-// BenchmarkFloodedPass measures a pass over a flooded fleet, without its floors.
+// BenchmarkFloodedPass measures a placement pass on an overloaded cluster, without its
+// minimum shares.
 func BenchmarkFloodedPass(b *testing.B) {
 	w := flooded()
-	in := w.floored()
+	in := w.jobsWithinMinShares()
 	b.ReportAllocs()
 	for b.Loop() {
-		Run(w.l, w.v, Order(w.l, w.v, NewClaims(w.l, w.v.Aims, in, w.v.Now)), func(*ledger.Job) {})
+		Run(w.l, w.v, Order(w.l, w.v, NewClaims(w.l, w.v.Objectives, in, w.v.Now)), func(*ledger.Job) {})
 	}
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -8,15 +8,16 @@
 	"brooklb/internal/model"
 )
 
-// roomiest leaves the machines of one zone: where all n tasks have room at once, or else most
-// of them. The first task that is placed binds the others, which waited for machines of a full
-// zone beside empty ones of another. Of zones that are alike the one with the best machine.
-func roomiest(cs []choice, need model.Need, n int) []choice {
-	slots, best := map[string]int{}, map[string]choice{}
+// keepRoomiestZone keeps only the machines of one zone: the one that has room for most of
+// the n tasks at once, and among equals the one with the best machine. The first task that
+// is placed binds the others to its zone. When that zone was full, they waited while
+// machines of another zone were empty.
+func keepRoomiestZone(cs []candidate, need model.Need, n int) []candidate {
+	slots, best := map[string]int{}, map[string]candidate{}
 	for _, c := range cs {
-		slots[c.m.Zone] += slotsIn(c.m.Free(), need, n-slots[c.m.Zone])
-		if b, ok := best[c.m.Zone]; !ok || better(c, b) {
-			best[c.m.Zone] = c
+		slots[c.machine.Zone] += countSlots(c.machine.Free(), need, n-slots[c.machine.Zone])
+		if b, ok := best[c.machine.Zone]; !ok || better(c, b) {
+			best[c.machine.Zone] = c
 		}
 	}
 	zone := ""
@@ -25,15 +26,15 @@
 			zone = z
 		}
 	}
-	return slices.DeleteFunc(cs, func(c choice) bool { return c.m.Zone != zone })
+	return slices.DeleteFunc(cs, func(c candidate) bool { return c.machine.Zone != zone })
 }
 
-func placeGang(l *ledger.Ledger, v *View, r *room, j *ledger.Job, team *ledger.Team) bool {
+func placeGang(l *ledger.Ledger, v *View, r *machineIndex, j *ledger.Job, team *ledger.Team) bool {
 	if j.Placed > 0 && !ledger.Forming(j) {
 		j.Waits = "its last attempt isn't gone yet"
 		return false
 	}
-	if j.Placed > 0 && j.Short > 0 && v.Now-j.Short > shortFor {
+	if j.Placed > 0 && j.Short > 0 && v.Now-j.Short > maxReplacementWait {
 		j.Waits = "a task that was lost could not be replaced in time"
 		l.GiveUp(j)
 		return false
@@ -52,7 +53,7 @@
 		attempt = max(attempt, t.Attempt)
 	}
 	if j.Placed == 0 {
-		attempt++ // else a replacement in the attempt that waits for it
+		attempt++ // otherwise the new tasks replace lost ones within the present attempt
 	}
 	if !team.Within(j.Spec.Need.Times(float64(n))) {
 		j.Waits = "the team's limit is used up"
@@ -61,33 +62,33 @@
 	if !v.Units.Allow(l, j, n) {
 		return false
 	}
-	const waits = "not enough machines have room at once"
-	if r.hopeless(j.Spec, n) && !v.holdsFor(j) {
-		j.Waits = waits
+	const reason = "not enough machines have room at once"
+	if r.knownToFail(j.Spec, n) && !v.hasHold(j) {
+		j.Waits = reason
 		return false
 	}
-	top, plain := pickGang(l, v, r.ms, j, n)
-	if top == nil {
-		if plain {
-			r.miss(j.Spec, n)
+	machines, onlyCapacity := pickGang(l, v, r.machines, j, n)
+	if machines == nil {
+		if onlyCapacity {
+			r.recordMiss(j.Spec, n)
 		}
-		j.Waits = waits
+		j.Waits = reason
 		return false
 	}
 	k := 0
 	for i := range j.Tasks {
 		if !j.Tasks[i].Done && j.Tasks[i].P == nil {
-			l.Plan(j, i, attempt, top[k])
+			l.Plan(j, i, attempt, machines[k])
 			k++
 		}
 	}
-	r.drop(top)
+	r.dropFull(machines)
 	return true
 }
 
-// warmHold says that room is being made for the job on machines that have its
-// image, so that others aren't worth a fetch.
-func (v *View) warmHold(j *ledger.Job) bool {
+// hasWarmHold reports whether machines that have the job's image are being cleared for it,
+// so that machines that would have to fetch the image are not worth using.
+func (v *View) hasWarmHold(j *ledger.Job) bool {
 	for _, h := range v.Holds {
 		if h.Job == j && h.Warm {
 			return true
@@ -96,10 +97,10 @@
 	return false
 }
 
-// homeZone is the zone that the job's placements bind it to, "" for none;
-// known is false while one of them is on a machine whose zone isn't known.
-func homeZone(j *ledger.Job) (zone string, known bool) {
-	count, ok := zones(j)
+// boundZone returns the zone that the job's placements bind it to, or "" for none; known
+// is false while the zone of one of their machines is unknown.
+func boundZone(j *ledger.Job) (zone string, known bool) {
+	count, ok := placementsByZone(j)
 	if !ok {
 		return "", false
 	}
@@ -111,32 +112,32 @@
 	return "", true
 }
 
-// pickGang finds machines for n tasks of a gang, all in one zone if the job
-// asks for that: the zone where the slowest of them is fastest. plain says that
-// what was left out was so for lack of room, not for this job alone.
-func pickGang(l *ledger.Ledger, v *View, machines []*ledger.Machine, j *ledger.Job, n int) (out []*ledger.Machine, plain bool) {
-	plain = true
+// pickGang finds machines for n tasks of a gang. If the job must run in one zone, it
+// chooses the zone whose lowest-rated machine rates best. onlyCapacity is false if it left
+// out a machine for a reason that concerns this job alone.
+func pickGang(l *ledger.Ledger, v *View, machines []*ledger.Machine, j *ledger.Job, n int) (out []*ledger.Machine, onlyCapacity bool) {
+	onlyCapacity = true
 	var avoid []*ledger.Machine
 	for i := range j.Tasks {
 		if a := j.Tasks[i].Avoids(v.Now); a != nil {
 			avoid = append(avoid, a)
 		}
 	}
-	home, known := homeZone(j)
+	home, known := boundZone(j)
 	if !known {
 		return nil, false
 	}
-	count, _ := zones(j)
-	warm := v.warmHold(j)
+	count, _ := placementsByZone(j)
+	warm := v.hasWarmHold(j)
 	var fits []*ledger.Machine
 	slots := map[string]int{}
 	for _, m := range machines {
 		free := m.Free()
-		if !j.Spec.Need.Fits(free) || !Allowed(j, m) || !v.mayTake(j, m) {
+		if !j.Spec.Need.Fits(free) || !Allowed(j, m) || !v.mayUse(j, m) {
 			continue
 		}
 		if home != "" && m.Zone != home {
-			plain = false
+			onlyCapacity = false
 			continue
 		}
 		cold := false
@@ -145,37 +146,37 @@
 			cold = !has
 		}
 		if cold || slices.Contains(avoid, m) {
-			plain = false
+			onlyCapacity = false
 			continue
 		}
 		fits = append(fits, m)
-		slots[m.Zone] += slotsIn(free, j.Spec.Need, n-slots[m.Zone])
+		slots[m.Zone] += countSlots(free, j.Spec.Need, n-slots[m.Zone])
 	}
-	var cs []choice
+	var cs []candidate
 	for _, m := range fits {
-		// Machines are rated only where the gang can come together.
+		// Score only machines of zones that have room for the whole gang.
 		if !j.Spec.OneZone || slots[m.Zone] >= n {
-			cs = append(cs, choice{m, Score(l, v, j, m)})
+			cs = append(cs, candidate{m, Score(l, v, j, m)})
 		}
 	}
-	slices.SortStableFunc(cs, func(a, b choice) int { return cmp.Compare(b.s, a.s) })
+	slices.SortStableFunc(cs, func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
 	picks := map[string][]*ledger.Machine{}
 	for _, c := range cs {
 		z := ""
 		if j.Spec.OneZone {
-			z = c.m.Zone
+			z = c.machine.Zone
 		}
-		free := c.m.Free()
-		for j.Spec.Need.Fits(free) && (j.Spec.OneZone || zoneAllows(j, count, c.m.Zone)) {
+		free := c.machine.Free()
+		for j.Spec.Need.Fits(free) && (j.Spec.OneZone || zoneAllows(j, count, c.machine.Zone)) {
 			free = free.Sub(j.Spec.Need)
-			picks[z] = append(picks[z], c.m)
-			count[c.m.Zone]++
-			// They come in the order of their rating: the first zone that is
-			// complete has the best slowest machine.
+			picks[z] = append(picks[z], c.machine)
+			count[c.machine.Zone]++
+			// The candidates are sorted by score, so the lowest-rated machine of the
+			// first complete zone rates best.
 			if len(picks[z]) == n {
-				return picks[z], plain
+				return picks[z], onlyCapacity
 			}
 		}
 	}
-	return nil, plain
+	return nil, onlyCapacity
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -9,15 +9,15 @@
 	"brooklb/internal/model"
 )
 
-// Order lists the open jobs with idle tasks, most urgent first: the larger claim on
-// a team's guarantee (Claim), then priority (the order in which Stops lets work be
-// stopped, too), then jobs that can still meet an aim, then
-// the least work left. When there is too much work, going by age makes
-// everybody late; the small jobs first keeps the most of them in time. What
-// has waited long counts as smaller, so that nothing starves.
+// Order returns the open jobs with idle tasks, most urgent first. It sorts by claim
+// (Claim), then priority, as Preemptor does when it chooses tasks to stop, then jobs that
+// can still meet an objective, then by due time or the least work left. Under overload,
+// ordering by age makes all jobs late, while smaller jobs first keeps the most of them on
+// time. Of jobs that have missed their objectives, the work counts less the longer they
+// have waited, so that none starves.
 func Order(l *ledger.Ledger, v *View, claims Claims) []*ledger.Job {
 	var rs []ranked
-	gangs := map[level]bool{}
+	gangs := map[rankClass]bool{}
 	for _, j := range l.Order() {
 		if !Waiting(j) {
 			continue
@@ -26,36 +26,36 @@
 			continue
 		}
 		c := claims[j]
-		r := ranked{j: j, claim: c, lost: j.Faulty() || v.Aims != nil && v.Aims.Lost(j, c == Promised, v.Now)}
-		r.work = work(j)
-		if r.lost {
-			// Being first no longer helps it to anything that was promised.
-			if !c.floored() {
+		r := ranked{j: j, claim: c, missed: j.Faulty() || v.Objectives != nil && v.Objectives.Missed(j, c == Entitled, v.Now)}
+		r.work = remainingWork(j)
+		if r.missed {
+			// An earlier start no longer helps it to meet an objective.
+			if !c.hasMinShare() {
 				r.claim = NoClaim
 			}
 			waited := max(0, v.Now-j.Since).Seconds()
-			r.work /= 1 + waited/starve.Seconds()
-		} else if v.Aims != nil {
-			r.due = v.Aims.due(j, c == Promised, v.Now)
+			r.work /= 1 + waited/starvationTime.Seconds()
+		} else if v.Objectives != nil {
+			r.due = v.Objectives.dueBy(j, c == Entitled, v.Now)
 		}
 		if j.Spec.Kind != model.Array {
-			gangs[r.level()] = true
+			gangs[r.rankClass()] = true
 		}
 		rs = append(rs, r)
 	}
-	if v.Aims != nil {
+	if v.Objectives != nil {
 		pickOnTime(l, rs, v.Now)
 	}
 	slices.SortStableFunc(rs, func(x, y ranked) int {
 		if c := cmp.Or(cmp.Compare(y.claim, x.claim), cmp.Compare(y.j.Spec.Priority, x.j.Spec.Priority)); c != 0 {
 			return c
 		}
-		if x.lost != y.lost {
-			return first(y.lost)
+		if x.missed != y.missed {
+			return trueFirst(y.missed)
 		}
-		if !x.lost && v.Aims != nil && !gangs[x.level()] {
+		if !x.missed && v.Objectives != nil && !gangs[x.rankClass()] {
 			if x.late != y.late {
-				return first(y.late)
+				return trueFirst(y.late)
 			}
 			if c := cmp.Compare(x.due, y.due); !x.late && c != 0 {
 				return c
@@ -70,21 +70,23 @@
 	return out
 }
 
-func first(yes bool) int {
+// trueFirst returns the result of a comparison in which the operand that is true goes first,
+// given the value of the first operand.
+func trueFirst(yes bool) int {
 	if yes {
 		return -1
 	}
 	return 1
 }
 
-// shortFor is how long a gang that has not begun waits for the replacement of a
-// lost task; its other machines stand idle meanwhile.
-const shortFor = 25 * time.Second
+// maxReplacementWait is how long a gang that has not begun waits for the replacement of a
+// lost task. Its other machines are idle meanwhile.
+const maxReplacementWait = 25 * time.Second
 
-// starve is how long a job waits until it counts as half its size.
-const starve = time.Minute
+// starvationTime is the time after which the work of a waiting job counts half.
+const starvationTime = time.Minute
 
-// Waiting reports whether a job has tasks that want a machine.
+// Waiting reports whether the job has tasks that need a machine and may get one.
 func Waiting(j *ledger.Job) bool {
 	return j.Final == ledger.Open && !j.Broken && j.Readable() && j.Idle() > 0
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,4 +1,4 @@
-// Package placement decides which waiting task goes to which machine.
+// Package placement decides on which machine each waiting task runs.
 package placement
 
 import (
@@ -9,27 +9,28 @@
 	"brooklb/internal/model"
 )
 
-// View is what the decision needs to know besides the ledger.
+// View holds the input of a placement pass besides the ledger.
 type View struct {
-	Now    time.Duration
-	Silent time.Duration // a machine not heard of for so long takes nothing new
-	Report time.Duration // how often workers report
-	// Machines are those that can take new tasks, in name order.
+	Now            time.Duration
+	SilentAfter    time.Duration // machines that have not reported for longer get no new tasks
+	ReportInterval time.Duration // interval between the reports of a worker
+	// Machines lists those that can take new tasks, ordered by name.
 	Machines []*ledger.Machine
-	// Holds tells for which job a machine's free room is kept.
-	Holds map[*ledger.Machine]*Hold
-	Aims  *Aims
-	// Units says who may take counted resources; nil: nobody asks for any.
-	Units *Queues
+	// Holds maps a machine to the job for which its free capacity is reserved.
+	Holds      map[*ledger.Machine]*Hold
+	Objectives *Objectives
+	// Units decides which jobs may take counted resources. It may be nil if no job
+	// requests any.
+	Units *UnitQueues
 }
 
-// Usable reports whether the machine can take new tasks at all.
+// Usable reports whether the machine may be given new tasks.
 func Usable(m *ledger.Machine, v *View) bool {
-	return m.Known && m.Heard && !m.Gone && !m.Leaving && !m.Notice && v.Now >= m.NoPlace && v.Now-m.LastHeard <= v.Silent
+	return m.Known && m.Heard && !m.Gone && !m.Leaving && !m.Notice && v.Now >= m.NoPlace && v.Now-m.LastHeard <= v.SilentAfter
 }
 
-// Whole is what the machines that can take tasks have together.
-func (v *View) Whole() model.Need {
+// TotalCapacity returns the sum of the capacities of all machines in the view.
+func (v *View) TotalCapacity() model.Need {
 	var n model.Need
 	for _, m := range v.Machines {
 		n = n.Add(m.Cap)
@@ -37,14 +38,15 @@
 	return n
 }
 
-// Run places what can be placed and returns the jobs that still wait, both in
-// the given order. refused hears of each of them before the next is tried: room
-// that is to be made for a job must be held before lesser work takes the part
-// of it that is free. Of a job that seems to be at fault neither is told: it
-// gets what is free, until it has waited for so long that a machine is rented.
+// Run places as many tasks as it can and returns the jobs that still wait. It handles and
+// returns jobs in the given order. Run calls refused for each job that it could not place
+// completely, before it tries the next one: capacity that is freed for a job must be held
+// before less urgent jobs take the part of it that is already free. Faulty jobs are the
+// exception: Run doesn't call refused for them, and returns them only once they are
+// overdue, when a machine may be rented for them.
 func Run(l *ledger.Ledger, v *View, order []*ledger.Job, refused func(*ledger.Job)) []*ledger.Job {
 	var left []*ledger.Job
-	r := newRoom(v)
+	r := newMachineIndex(v)
 	for _, j := range order {
 		if !placeJob(l, v, r, j) && (!j.Faulty() || j.Overdue(v.Now)) {
 			left = append(left, j)
@@ -56,7 +58,7 @@
 	return left
 }
 
-// Candidates lists the machines that can take new tasks, in name order.
+// Candidates returns the machines that can take new tasks, ordered by name.
 func Candidates(l *ledger.Ledger, v *View) []*ledger.Machine {
 	var out []*ledger.Machine
 	for _, m := range l.Sorted() {
@@ -67,16 +69,17 @@
 	return out
 }
 
-// Allowed reports whether the job's rules let its tasks run on the machine,
-// apart from room and from where its other tasks are.
+// Allowed reports whether the constraints of the job permit its tasks to run on the
+// machine. It checks neither free capacity nor where the job's other tasks are.
 func Allowed(j *ledger.Job, m *ledger.Machine) bool {
 	s := j.Spec
 	return s.AllowsType(m.Type) && (s.Zone == "" || s.Zone == m.Zone) && (j.Zone == "" || j.Zone == m.Zone) && (s.Spot || !m.Spot) && j.MayListen(m)
 }
 
-// zones counts the job's placements by zone; ok is false while one of them is
-// on a machine whose zone isn't known.
-func zones(j *ledger.Job) (count map[string]int, ok bool) {
+// placementsByZone counts the job's placed tasks by zone; ok is false while the zone of
+// one of their machines is unknown. The counts stay empty for jobs without zone
+// constraints.
+func placementsByZone(j *ledger.Job) (count map[string]int, ok bool) {
 	count = map[string]int{}
 	if j.Placed == 0 || (!j.Spec.OneZone && !j.Spec.Spread) {
 		return count, true
@@ -103,7 +106,7 @@
 	return !j.Spec.Spread || count[zone] < j.Spec.MaxPerZone()
 }
 
-func placeJob(l *ledger.Ledger, v *View, r *room, j *ledger.Job) bool {
+func placeJob(l *ledger.Ledger, v *View, r *machineIndex, j *ledger.Job) bool {
 	team := l.Teams[j.Spec.Team]
 	if team == nil {
 		j.Waits = "its team is not in the settings"
@@ -112,20 +115,20 @@
 	if j.Spec.Kind == model.Gang {
 		return placeGang(l, v, r, j, team)
 	}
-	count, ok := zones(j)
+	count, ok := placementsByZone(j)
 	if !ok {
 		j.Waits = "the zone of one of its machines isn't known yet"
 		return false
 	}
 	s := j.Spec
-	if r.hopeless(s, 1) && !v.holdsFor(j) && !wants(j) {
+	if r.knownToFail(s, 1) && !v.hasHold(j) && !isBeingMoved(j) {
 		j.Waits = "no machine has room"
 		return false
 	}
-	all, plain := true, true
-	var h choices
+	all, onlyCapacity := true, true
+	var h candidateHeap
 	built := false
-	defer func() { r.drop(h.taken) }()
+	defer func() { r.dropFull(h.taken) }()
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		if t.Done || t.P != nil || t.Off {
@@ -147,51 +150,52 @@
 			return false
 		}
 		if w := t.Want; w != nil && v.Now < t.WantUntil && Usable(w, v) && Allowed(j, w) && s.Need.Fits(w.Free()) && zoneAllows(j, count, w.Zone) && j.PortFree(i, w) {
-			l.Plan(j, i, t.Attempt+1, w) // its move was planned with all others of its machine
+			l.Plan(j, i, t.Attempt+1, w) // the destination was chosen when its old machine was drained
 			count[w.Zone]++
 			continue
 		}
 		if !built {
 			built = true
-			for _, m := range r.ms {
-				if s.Need.Fits(m.Free()) && Allowed(j, m) && v.mayTake(j, m) {
-					h.cs = append(h.cs, choice{m, Score(l, v, j, m)})
+			for _, m := range r.machines {
+				if s.Need.Fits(m.Free()) && Allowed(j, m) && v.mayUse(j, m) {
+					h.candidates = append(h.candidates, candidate{m, Score(l, v, j, m)})
 				}
 			}
 			if s.OneZone && j.Placed == 0 {
-				fits := len(h.cs)
-				h.cs = roomiest(h.cs, s.Need, j.Idle())
-				plain = plain && len(h.cs) == fits // other zones have room, for others
+				fits := len(h.candidates)
+				h.candidates = keepRoomiestZone(h.candidates, s.Need, j.Idle())
+				onlyCapacity = onlyCapacity && len(h.candidates) == fits // machines in other zones have room for other jobs
 			}
 			heap.Init(&h)
 		}
-		plain = plain && t.Avoids(v.Now) == nil && j.Zone == "" && j.Port == 0
+		onlyCapacity = onlyCapacity && t.Avoids(v.Now) == nil && j.Zone == "" && j.Port == 0
 		m := h.next(v, j, i, count)
 		if m == nil {
 			j.Waits = "no machine has room"
-			// Machines with room that this job alone can't use, since its other tasks are in
-			// another zone, say, are there for those that are alike: one array bound to a
-			// full zone once had all others wait beside empty machines.
-			if plain && h.Len() == 0 {
-				r.miss(s, 1)
+			// Record the miss only if no machine has room. A constraint of this job alone,
+			// such as the zone of its other tasks, must not stop jobs with the same
+			// constraints: one array bound to a full zone made the others wait while
+			// machines elsewhere were empty.
+			if onlyCapacity && h.Len() == 0 {
+				r.recordMiss(s, 1)
 			}
 			return false
 		}
 		l.Plan(j, i, t.Attempt+1, m)
 		if j.Faulty() {
-			return true // one task is enough to see
+			return true // one task is enough to try a faulty job
 		}
 		count[m.Zone]++
 		h.taken = append(h.taken, m)
 		if s.Need.Fits(m.Free()) {
-			heap.Push(&h, choice{m, Score(l, v, j, m)})
+			heap.Push(&h, candidate{m, Score(l, v, j, m)})
 		}
 	}
 	return all
 }
 
-// wants reports whether a task of the job is being moved somewhere.
-func wants(j *ledger.Job) bool {
+// isBeingMoved reports whether a task of the job is waiting to move to a chosen machine.
+func isBeingMoved(j *ledger.Job) bool {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.Want != nil && t.P == nil && !t.Done && !t.Off {
 			return true
@@ -200,13 +204,13 @@
 	return false
 }
 
-// mayTake reports whether the machine's room isn't kept for another job.
-func (v *View) mayTake(j *ledger.Job, m *ledger.Machine) bool {
+// mayUse reports whether the machine is not held for another job.
+func (v *View) mayUse(j *ledger.Job, m *ledger.Machine) bool {
 	h := v.Holds[m]
 	return h == nil || h.Job == j
 }
 
-func (v *View) holdsFor(j *ledger.Job) bool {
+func (v *View) hasHold(j *ledger.Job) bool {
 	for _, h := range v.Holds {
 		if h.Job == j {
 			return true
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -23,7 +23,7 @@
 func (e env) Call(actor.Call)                              {}
 func (e env) Log() *slog.Logger                            { return slog.New(slog.DiscardHandler) }
 
-// world is a ledger with machines of 8 GPUs in two zones and random jobs.
+// world is a ledger with machines of 8 GPUs in two zones.
 type world struct {
 	l *ledger.Ledger
 	v *View
@@ -40,14 +40,14 @@
 		m.Heard, m.LastHeard = true, e.Now()
 		l.Describe(m, "g8", []string{"x", "y"}[i%2], i%3 == 0)
 	}
-	w := &world{l: l, v: &View{Now: e.Now(), Silent: time.Minute, Holds: map[*ledger.Machine]*Hold{}, Aims: NewAims(nil)}}
+	w := &world{l: l, v: &View{Now: e.Now(), SilentAfter: time.Minute, Holds: map[*ledger.Machine]*Hold{}, Objectives: NewObjectives(nil)}}
 	w.v.Machines = Candidates(l, w.v)
 	return w
 }
 
 func (w *world) job(s model.Spec) *ledger.Job { return w.jobAt(s, 0) }
 
-// jobAt adds a job that was accepted at the given time of the minute's world.
+// jobAt adds a job that was accepted at the given time since the start.
 func (w *world) jobAt(s model.Spec, at time.Duration) *ledger.Job {
 	w.n++
 	s.ID = fmt.Sprintf("j-%d", w.n)
@@ -56,7 +56,7 @@
 	return w.l.Jobs[s.ID]
 }
 
-func (w *world) random(r *rand.Rand) *ledger.Job {
+func (w *world) randomJob(r *rand.Rand) *ledger.Job {
 	s := model.Spec{Team: []string{"red", "blue", "free"}[r.IntN(3)], Tasks: 1 + r.IntN(6), Image: "i", CheckpointS: 5, SaveS: 1,
 		Priority: model.Priority(r.IntN(4)), Need: model.Need{CPUs: 1, GPUs: float64(1 + r.IntN(4)), MemGB: 1}, Spot: true, EstimateS: 60}
 	if r.IntN(3) == 0 {
@@ -66,32 +66,32 @@
 	return w.job(s)
 }
 
-func (w *world) floored() map[*ledger.Job]bool {
-	return (&Floors{Sharing: settings.DefaultSharing()}).Within(w.l, w.v.Aims, w.v.Whole(), w.v.Now)
+func (w *world) jobsWithinMinShares() map[*ledger.Job]bool {
+	return (&MinShares{Sharing: settings.DefaultSharing()}).JobsWithin(w.l, w.v.Objectives, w.v.TotalCapacity(), w.v.Now)
 }
 
-// TestStoppingIsAnOrder guards against work that takes turns in stopping each
-// other: what may stop a task could never be stopped by that task's own job.
+// TestStoppingIsAnOrder guards against jobs that preempt each other repeatedly: if a job
+// may stop a task, the task's own job may never stop a task of that job.
 func TestStoppingIsAnOrder(t *testing.T) {
 	pairs := 0
 	for seed := uint64(0); seed < 200; seed++ {
 		r := rand.New(rand.NewPCG(seed, 2))
 		w := newWorld(seed, 12)
 		for range 12 {
-			w.random(r)
+			w.randomJob(r)
 		}
-		claims := NewClaims(w.l, w.v.Aims, w.floored(), w.v.Now)
+		claims := NewClaims(w.l, w.v.Objectives, w.jobsWithinMinShares(), w.v.Now)
 		Run(w.l, w.v, Order(w.l, w.v, claims), func(*ledger.Job) {})
-		st := NewStops(w.l, w.v, claims)
+		st := NewPreemptor(w.l, w.v, claims)
 		for _, a := range w.l.Order() {
 			for _, b := range w.l.Order() {
 				pa, pb := a.Tasks[0].P, b.Tasks[0].P
 				if a == b || pa == nil || pb == nil {
 					continue
 				}
-				if st.mayStop(a, pb) {
+				if st.mayPreempt(a, pb) {
 					pairs++
-					if st.mayStop(b, pa) {
+					if st.mayPreempt(b, pa) {
 						t.Fatalf("seed %d: %s and %s may stop each other", seed, a.Spec.ID, b.Spec.ID)
 					}
 				}
@@ -99,23 +99,23 @@
 		}
 	}
 	if pairs < 1000 {
-		t.Errorf("only %d pairs", pairs)
+		t.Errorf("only %d pairs of a job and a task that it may stop were checked", pairs)
 	}
 }
 
-// TestRunKeepsTheRules holds a run of placements to fit, limits, zones and
-// holds, and to leaving nothing out that would fit.
+// TestRunKeepsTheRules checks that a placement pass respects capacities, limits, zones and
+// holds, and leaves no array task waiting that fits somewhere.
 func TestRunKeepsTheRules(t *testing.T) {
 	placed := 0
 	for seed := uint64(0); seed < 300; seed++ {
 		r := rand.New(rand.NewPCG(seed, 3))
 		w := newWorld(seed, 4+r.IntN(20))
 		for range 3 + r.IntN(25) {
-			w.random(r)
+			w.randomJob(r)
 		}
 		held := w.v.Machines[0]
 		w.v.Holds[held] = &Hold{Job: w.l.Order()[0], Until: time.Hour}
-		left := Run(w.l, w.v, Order(w.l, w.v, NewClaims(w.l, w.v.Aims, w.floored(), w.v.Now)), func(*ledger.Job) {})
+		left := Run(w.l, w.v, Order(w.l, w.v, NewClaims(w.l, w.v.Objectives, w.jobsWithinMinShares(), w.v.Now)), func(*ledger.Job) {})
 		for _, m := range w.v.Machines {
 			if !(model.Need{}).Fits(m.Free()) {
 				t.Fatalf("seed %d: %s is over-full: %+v", seed, m.Name, m.Free())
@@ -138,7 +138,7 @@
 				continue
 			}
 			for _, m := range w.v.Machines {
-				if j.Spec.Need.Fits(m.Free()) && w.v.mayTake(j, m) {
+				if j.Spec.Need.Fits(m.Free()) && w.v.mayUse(j, m) {
 					t.Fatalf("seed %d: a task of %s would fit on %s", seed, j.Spec.ID, m.Name)
 				}
 			}
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestSpotRisk guards against gangs on spot machines, of which one that is
-// taken stops all the others, and against spot machines that stay unused.
+// TestSpotRisk guards against gangs on spot machines, where the loss of one machine stops
+// the whole gang, and against spot machines that stay unused.
 func TestSpotRisk(t *testing.T) {
 	w := newWorld(1, 24) // 8 of them spot machines
 	gang := w.job(model.Spec{Team: "free", Kind: model.Gang, Tasks: 12, Need: model.Need{GPUs: 8}, Image: "i", EstimateS: 100, CheckpointS: 45, SaveS: 5, Spot: true})
@@ -166,50 +166,50 @@
 	before := w.l.SpotRisk()
 	w.l.SpotTaken, w.l.SpotHours = 50, 4
 	if w.l.SpotRisk() < 5*before {
-		t.Errorf("a wave changed the risk from %v to %v only", before, w.l.SpotRisk())
+		t.Errorf("50 spot machines taken in 4 machine hours changed the risk from %v to %v only", before, w.l.SpotRisk())
 	}
 }
 
-// TestClaimPassesOn guards against late jobs that hold their team's guarantee: it
-// belongs to those that were promised a start, then to those that can still be
-// in time, the least work first; never to more than it holds.
+// TestClaimPassesOn guards against late jobs that hold their team's guarantee. The
+// guarantee belongs to entitled jobs, then to those that can still be on time, the least
+// work first, and claims never exceed it.
 func TestClaimPassesOn(t *testing.T) {
 	w := newWorld(1, 4)
-	w.v.Aims = NewAims([]settings.Objective{{Kind: "guarantee", WithinS: 20}})
+	w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "guarantee", WithinS: 20}})
 	add := func(at time.Duration, gpus int, est, due float64) *ledger.Job {
 		return w.jobAt(model.Spec{Team: "red", Tasks: gpus, Need: model.Need{GPUs: 1}, EstimateS: est, DeadlineS: due}, at)
 	}
 	late, large, small := add(0, 8, 600, 30), add(time.Second, 16, 100, 900), add(2*time.Second, 12, 10, 900)
-	// All of it would fit by age: 8 and 16 of 24 GPUs. 4 of the other 12 fit beside
-	// the small one.
+	// The two oldest jobs take all 24 GPUs, 8 and 16. When they are late, the small
+	// job takes 12, and the tiny one 4 of the other 12.
 	tiny := add(3*time.Second, 4, 20, 900)
-	if in := NewClaims(w.l, w.v.Aims, nil, w.v.Now); in[late] != Promised || in[large] != Promised {
-		t.Errorf("late %v, large %v: they were promised a start and have not begun", in[late], in[large])
+	if in := NewClaims(w.l, w.v.Objectives, nil, w.v.Now); in[late] != Entitled || in[large] != Entitled {
+		t.Errorf("late %v, large %v: they are entitled and have not begun", in[late], in[large])
 	}
 	for _, j := range []*ledger.Job{late, large, small, tiny} {
 		j.Begun = len(j.Tasks)
 	}
-	in := NewClaims(w.l, w.v.Aims, nil, w.v.Now)
-	if in[late] != NoClaim || in[large] != NoClaim || in[small] != PassedOn || in[tiny] != PassedOn {
+	in := NewClaims(w.l, w.v.Objectives, nil, w.v.Now)
+	if in[late] != NoClaim || in[large] != NoClaim || in[small] != SpareGuarantee || in[tiny] != SpareGuarantee {
 		t.Errorf("late %v, large %v, small %v, tiny %v", in[late], in[large], in[small], in[tiny])
 	}
-	// A new job has a claim if it fits together with all that came earlier.
+	// A new job is entitled if it fits together with all earlier ones.
 	for _, j := range []*ledger.Job{late, large} {
 		j.NDone = len(j.Tasks) - 2
 	}
-	if young := add(50*time.Second, 4, 500, 30); NewClaims(w.l, w.v.Aims, nil, w.v.Now)[young] != Promised {
-		t.Error("a job that was promised its start within the guarantee has no claim")
+	if young := add(50*time.Second, 4, 500, 30); NewClaims(w.l, w.v.Objectives, nil, w.v.Now)[young] != Entitled {
+		t.Error("a new job that fits into the guarantee is not entitled")
 	}
 	for seed := uint64(0); seed < 200; seed++ {
 		w, r := newWorld(seed, 4), rand.New(rand.NewPCG(seed, 4))
-		w.v.Aims = NewAims([]settings.Objective{{Kind: "guarantee", WithinS: 40}})
+		w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "guarantee", WithinS: 40}})
 		for range 20 {
 			w.jobAt(model.Spec{Team: "red", Tasks: 1 + r.IntN(12), Need: model.Need{GPUs: 1}, EstimateS: float64(r.IntN(300)),
 				DeadlineS: float64(30 + r.IntN(300)), Priority: model.Priority(r.IntN(3))}, time.Duration(r.IntN(60))*time.Second)
 		}
 		sum := 0
-		for j, c := range NewClaims(w.l, w.v.Aims, w.floored(), w.v.Now) {
-			if c != Floor { // beyond the guarantee
+		for j, c := range NewClaims(w.l, w.v.Objectives, w.jobsWithinMinShares(), w.v.Now) {
+			if c != MinShare { // a minimum share counts beyond the guarantee
 				sum += len(j.Tasks)
 			}
 		}
@@ -219,7 +219,7 @@
 	}
 }
 
-// BenchmarkPass measures a pass over a full fleet with work that waits: 1,300
+// BenchmarkPass measures a placement pass over a full cluster with waiting jobs: 1,300
 // machines, 150 jobs with 9,900 waiting tasks.
 func BenchmarkPass(b *testing.B) {
 	w, r := newWorld(1, 1300), rand.New(rand.NewPCG(1, 1))
@@ -231,16 +231,16 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		claims := NewClaims(w.l, w.v.Aims, w.floored(), w.v.Now)
+		claims := NewClaims(w.l, w.v.Objectives, w.jobsWithinMinShares(), w.v.Now)
 		if n := len(Run(w.l, w.v, Order(w.l, w.v, claims), func(*ledger.Job) {})); n < 140 {
 			b.Fatal(n)
 		}
 	}
 }
 
-// TestBoundToAFullZone guards against one array whose other tasks bind it to a full zone, and
-// one whose tasks must be apart, that have all others which are alike wait beside empty
-// machines; and against the first task of an array going to a zone without room for the rest.
+// TestBoundToAFullZone guards against an array that is bound to a full zone by its other
+// tasks, and makes jobs with the same constraints wait while machines elsewhere are empty;
+// and against the first task of an array going to a zone without room for the rest.
 func TestBoundToAFullZone(t *testing.T) {
 	w := newWorld(1, 4) // m000 and m002 in x, the others in y
 	spec := func(tasks int, kind model.Kind) model.Spec {
@@ -265,7 +265,7 @@
 		}
 	}
 	m := w.l.Sorted()[0]
-	m.Images["i"], m.Zone = w.v.Now, "x" // the best machine for the first task
+	m.Images["i"], m.Zone = w.v.Now, "x" // the best machine for a single task
 	wide := w.job(spec(4, model.Array))
 	for _, o := range w.l.Sorted() {
 		if o.Zone == "x" && o != m {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -9,36 +9,39 @@
 	"brooklb/internal/model"
 )
 
-// Hold is room kept for a job for which other tasks were stopped.
+// Hold reserves the free capacity of a machine for a job.
 type Hold struct {
 	Job   *ledger.Job
 	Until time.Duration
-	// Warm: the machine was chosen for the image it has.
+	// Warm means that the machine was chosen because it has the job's image.
 	Warm bool
-	// Move: the room is the target of a move, whose task still runs elsewhere.
+	// Move means that the machine is the target of a move whose task still runs elsewhere.
 	Move bool
 }
 
 const (
-	// Room made for a job is kept for it this long.
+	// holdFor is how long capacity that was freed for a job is held for it.
 	holdFor = 20 * time.Second
-	// The rate of fetches is given or take a third.
-	slowFetch = 1.5
-	// A start that is stopped this soon counts for nobody.
+	// fetchTimeMargin multiplies fetch times, as rates of fetches vary by a third.
+	fetchTimeMargin = 1.5
+	// freshStart is the run time below which a stopped start doesn't count as a start for
+	// its job.
 	freshStart = 30 * time.Second
-	// Seconds that stopping work of equal priority counts more. A machine may
-	// be full of small tasks that each cost some seconds: they go first still.
-	equalPenalty = 1000
+	// equalPriorityPenalty is added, in seconds, to the loss of stopping a task whose
+	// priority is not lower. It is large because a machine may be full of small tasks of
+	// lower priority that each lose some seconds, and these must still be stopped first.
+	equalPriorityPenalty = 1000
 )
 
+// victim is a task that may be stopped, with the seconds of work that this loses.
 type victim struct {
 	p    *ledger.Placement
 	loss float64
 }
 
-// loss is how many seconds of work stopping the task costs, ok false if it
-// should not be stopped at all.
-func loss(p *ledger.Placement, now time.Duration) (float64, bool) {
+// lossOf returns how many seconds of work are lost by stopping the task. ok is false if
+// the task must not be stopped because its gang has other tasks.
+func lossOf(p *ledger.Placement, now time.Duration) (float64, bool) {
 	s := p.Job.Spec
 	if s.Kind == model.Gang && len(p.Job.Tasks) > 1 {
 		return 0, false
@@ -58,35 +61,40 @@
 		cost += 15
 	}
 	if s.Kind != model.Service && s.EstimateS > 0 && ran > 0.8*p.Job.EstimateS() {
-		cost += 20 // about to complete by itself
+		cost += 20 // it will probably end soon
 	}
 	return cost + 3, true
 }
 
-// mayStop says whether a job may take the place of a task. A larger claim on a
-// guarantee never yields to a smaller one; with claims alike, work yields to higher
-// priority; and what has no claim and runs beyond its team's guarantee yields,
-// whatever its priority, to another team's claim. That is an
-// order: if work of high priority beyond its team's guarantee could stop what
-// is within, and the other way round, the two would take turns (tbilisi grown,
-// rough: a task stopped fifty times). What runs within its class's floor yields only to
-// another team's promise, from beyond its own team's guarantee; a floor by itself
-// stops lower priority only.
-func (st *Stops) mayStop(j *ledger.Job, p *ledger.Placement) bool {
+// mayPreempt reports whether a task may be stopped for a job. A task never yields to a job
+// with a smaller claim. If it has a claim, or the claims are equal, or both belong to one
+// team, it yields only to higher priority. A task without a claim that runs beyond its
+// team's guarantee also yields, whatever its priority, to another team's job with a claim
+// on a guarantee.
+//
+// A task within its class's minimum share yields only to an entitled job of another team,
+// and only if it is not within its own team's guarantee and either has lower priority or
+// runs beyond that guarantee. A job that has only a minimum share stops only tasks of
+// lower priority without a claim.
+//
+// This relation must be asymmetric. If jobs of high priority beyond their team's guarantee
+// could stop tasks within a guarantee, and the other way round, they would preempt each
+// other repeatedly: one task was stopped fifty times.
+func (st *Preemptor) mayPreempt(j *ledger.Job, p *ledger.Placement) bool {
 	if p.Job == j || p.Job.Final != ledger.Open {
 		return false
 	}
 	lower := p.Job.Spec.Priority < j.Spec.Priority
-	mine, other := st.claims[j], st.claims[p.Job]
+	jobClaim, taskClaim := st.claims[j], st.claims[p.Job]
 	switch {
-	case other > mine:
+	case taskClaim > jobClaim:
 		return false
-	case other.floored() && (mine != Promised || other == FloorWithin || p.Job.Spec.Team == j.Spec.Team):
+	case taskClaim.hasMinShare() && (jobClaim != Entitled || taskClaim == MinShareAndGuarantee || p.Job.Spec.Team == j.Spec.Team):
 		return false
-	case mine == Floor:
-		return lower && other == NoClaim
-	case other == Floor:
-	case p.Job.Spec.Team == j.Spec.Team || other == mine || other != NoClaim:
+	case jobClaim == MinShare:
+		return lower && taskClaim == NoClaim
+	case taskClaim == MinShare:
+	case p.Job.Spec.Team == j.Spec.Team || taskClaim == jobClaim || taskClaim != NoClaim:
 		return lower
 	}
 	t := st.l.Teams[p.Job.Spec.Team]
@@ -97,74 +105,75 @@
 	return (t.GPUs > 0 && u.GPUs-p.Job.Spec.Need.GPUs >= t.GPUs-1e-6) || (t.CPUs > 0 && u.CPUs-p.Job.Spec.Need.CPUs >= t.CPUs-1e-6)
 }
 
-// Stops looks for tasks to stop, for several jobs in one go. What a machine
-// could give up is found out once for all of them.
-type Stops struct {
-	l      *ledger.Ledger
-	v      *View
-	claims Claims
-	on     map[*ledger.Machine]*stoppable
-	failed []noStop
+// Preemptor chooses tasks to stop for the jobs of a pass. It computes once per machine
+// what could be stopped there, for all jobs.
+type Preemptor struct {
+	l              *ledger.Ledger
+	v              *View
+	claims         Claims
+	byMachine      map[*ledger.Machine]*preemptible
+	failedRequests []failedRequest
 }
 
-// stoppable is what a machine could give up, whoever asks.
-type stoppable struct {
-	tasks   int        // on the machine, when this was found out
-	free    model.Need // with what is being stopped already
-	victims []victim   // by loss
+// preemptible describes what could be freed on a machine, regardless of the job.
+type preemptible struct {
+	taskCount int        // number of tasks on the machine when this was computed
+	free      model.Need // free capacity, with that of tasks that are being stopped
+	victims   []victim   // sorted by loss
 }
 
-// noStop is a request for which nothing could be stopped.
-type noStop struct {
+// failedRequest is a request for which stopping tasks could not free enough capacity.
+type failedRequest struct {
 	j     *ledger.Job
 	n     int
 	claim Claim
 	image string
 }
 
-// NewStops begins a round of Preempt and Clear on a view.
-func NewStops(l *ledger.Ledger, v *View, claims Claims) *Stops {
-	return &Stops{l: l, v: v, claims: claims, on: map[*ledger.Machine]*stoppable{}}
+// NewPreemptor returns a Preemptor for one pass over a view.
+func NewPreemptor(l *ledger.Ledger, v *View, claims Claims) *Preemptor {
+	return &Preemptor{l: l, v: v, claims: claims, byMachine: map[*ledger.Machine]*preemptible{}}
 }
 
-func (st *Stops) of(m *ledger.Machine) *stoppable {
-	if s := st.on[m]; s != nil && s.tasks == len(m.P) {
+func (st *Preemptor) optionsOn(m *ledger.Machine) *preemptible {
+	if s := st.byMachine[m]; s != nil && s.taskCount == len(m.P) {
 		return s
 	}
-	s := &stoppable{tasks: len(m.P), free: m.Free()}
+	s := &preemptible{taskCount: len(m.P), free: m.Free()}
 	for _, p := range m.P {
 		if p.Stopping {
 			s.free = s.free.Add(p.Job.Spec.Need)
-		} else if c, ok := loss(p, st.v.Now); ok {
+		} else if c, ok := lossOf(p, st.v.Now); ok {
 			s.victims = append(s.victims, victim{p, c})
 		}
 	}
 	slices.SortStableFunc(s.victims, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
-	st.on[m] = s
+	st.byMachine[m] = s
 	return s
 }
 
-// hopeless reports whether the same was asked for in vain by a job that could
-// stop as much and needs no more.
-func (st *Stops) hopeless(j *ledger.Job, n int, image string) bool {
-	for _, f := range st.failed {
+// knownToFail reports whether the same request failed before for a job that may stop at
+// least the same tasks and needs no more.
+func (st *Preemptor) knownToFail(j *ledger.Job, n int, image string) bool {
+	for _, f := range st.failedRequests {
 		if f.n <= n && f.claim == st.claims[j] && f.image == image && f.j.Spec.Priority >= j.Spec.Priority && f.j.Spec.Team == j.Spec.Team &&
-			f.j.Spec.Kind == j.Spec.Kind && f.j.Spec.Need.Fits(j.Spec.Need) && Alike(f.j.Spec, j.Spec) {
+			f.j.Spec.Kind == j.Spec.Kind && f.j.Spec.Need.Fits(j.Spec.Need) && SameConstraints(f.j.Spec, j.Spec) {
 			return true
 		}
 	}
 	return false
 }
 
-// Preempt makes room for a job that could not be placed by stopping what loses
-// least. It returns the tasks to stop and holds their machines for the job, or
-// nil if it can't be done. warm asks for machines that have the job's image.
-func (st *Stops) Preempt(j *ledger.Job, warm bool) []*ledger.Placement {
+// Preempt chooses tasks to stop for a job that could not be placed, those that lose the
+// least work. It returns these tasks and holds their machines for the job, or returns nil
+// if stopping tasks can't help. warm restricts the choice to machines that have the job's
+// image.
+func (st *Preemptor) Preempt(j *ledger.Job, warm bool) []*ledger.Placement {
 	l, v := st.l, st.v
 	s := j.Spec
 	team := l.Teams[s.Team]
 	n := j.Idle()
-	home, known := homeZone(j)
+	home, known := boundZone(j)
 	if team == nil || n == 0 || !known || j.Placed > 0 && s.Kind == model.Gang && !ledger.Forming(j) {
 		return nil
 	}
@@ -178,16 +187,16 @@
 		}
 	}
 	if n = min(n, l.UnitsFor(j)); s.Kind == model.Gang && n < j.Idle() {
-		return st.freeUnits(j) // room alone would not help it
+		return st.preemptForUnits(j) // capacity without units would not help the job
 	}
 	if n <= 0 {
-		return st.freeUnits(j)
+		return st.preemptForUnits(j)
 	}
 	image := ""
 	if warm {
 		image = s.Image
 	}
-	if st.hopeless(j, n, image) {
+	if st.knownToFail(j, n, image) {
 		return nil
 	}
 	type option struct {
@@ -202,24 +211,24 @@
 	var zs []string
 	var vs []victim
 	for _, m := range v.Machines {
-		if !Allowed(j, m) || !v.mayTake(j, m) || (home != "" && m.Zone != home) {
+		if !Allowed(j, m) || !v.mayUse(j, m) || (home != "" && m.Zone != home) {
 			continue
 		}
 		if _, ok := m.Images[s.Image]; warm && !ok {
 			continue
 		}
-		on := st.of(m)
-		free := on.free
-		if len(on.victims) == 0 && !s.Need.Fits(free) {
+		options := st.optionsOn(m)
+		free := options.free
+		if len(options.victims) == 0 && !s.Need.Fits(free) {
 			continue
 		}
 		vs = vs[:0]
 		equal := false
-		for _, x := range on.victims {
-			if st.mayStop(j, x.p) {
+		for _, x := range options.victims {
+			if st.mayPreempt(j, x.p) {
 				if x.p.Job.Spec.Priority >= s.Priority {
-					// It waits for the same kind of room then: the last resort.
-					x.loss += equalPenalty
+					// The stopped task then competes for similar capacity: a last resort.
+					x.loss += equalPriorityPenalty
 					equal = true
 				}
 				vs = append(vs, x)
@@ -241,7 +250,7 @@
 			free = free.Sub(s.Need)
 			o.slots++
 		}
-		// The image has to be fetched where it isn't yet.
+		// A machine without the image has to fetch it first.
 		if t := l.Types[m.Type]; t != nil && t.FetchGBs > 0 {
 			if _, ok := m.Images[s.Image]; !ok {
 				o.cost += s.ImageGB / t.FetchGBs / 2
@@ -286,7 +295,7 @@
 		}
 	}
 	if best == nil && home == "" && j.Zone == "" && j.Port == 0 {
-		st.failed = append(st.failed, noStop{j, n, st.claims[j], image})
+		st.failedRequests = append(st.failedRequests, failedRequest{j, n, st.claims[j], image})
 	}
 	var out []*ledger.Placement
 	for _, o := range best {
@@ -296,8 +305,8 @@
 	return out
 }
 
-// Release drops holds that are over or no longer needed.
-func Release(v *View) {
+// ReleaseHolds deletes the holds that have expired or whose job no longer waits.
+func ReleaseHolds(v *View) {
 	for m, h := range v.Holds {
 		if v.Now >= h.Until || m.Gone || (!h.Move && !Waiting(h.Job)) {
 			delete(v.Holds, m)
@@ -305,22 +314,22 @@
 	}
 }
 
-// Clear stops lesser work on machines that have the job's image when fetching
-// it to a free machine would take longer than the aim allows: a fetch can
-// outlast the aim by itself. It returns the tasks to stop.
-func (st *Stops) Clear(j *ledger.Job) []*ledger.Placement {
+// PreemptWarm chooses tasks to stop on machines that have the job's image, if fetching the
+// image to free machines would take longer than the wait objective allows: a fetch alone
+// can exceed it. It returns these tasks.
+func (st *Preemptor) PreemptWarm(j *ledger.Job) []*ledger.Placement {
 	l, v := st.l, st.v
-	if j.Placed > 0 || v.Aims == nil {
+	if j.Placed > 0 || v.Objectives == nil {
 		return nil
 	}
 	left := time.Duration(0)
-	for _, t := range v.Aims.StartBy(j, false)[:len(v.Aims.wait[j.Spec.Class])] {
+	for _, t := range v.Objectives.StartBy(j, false)[:len(v.Objectives.wait[j.Spec.Class])] {
 		if t > v.Now && (left == 0 || t-v.Now < left) {
 			left = t - v.Now
 		}
 	}
-	save := 3 * time.Second
-	if left < save {
+	minLeft := 3 * time.Second
+	if left < minLeft {
 		return nil
 	}
 	fetch := time.Duration(0)
@@ -339,5 +348,5 @@
 	if _, ok := m.Images[j.Spec.Image]; ok || t == nil || t.FetchGBs <= 0 {
 		return 0
 	}
-	return time.Duration(j.Spec.ImageGB / t.FetchGBs * slowFetch * float64(time.Second))
+	return time.Duration(j.Spec.ImageGB / t.FetchGBs * fetchTimeMargin * float64(time.Second))
 }
--- a/internal/placement/project.go
+++ b/internal/placement/project.go
@@ -11,61 +11,63 @@
 	"brooklb/internal/model"
 )
 
-// Slot is a machine, rented or on its way, as the projection sees it.
-type Slot struct {
-	M    *ledger.Machine // nil: on its way
+// ProjectedMachine is a machine in the projection. It is in use or expected to boot.
+type ProjectedMachine struct {
+	M    *ledger.Machine // nil while the machine has not booted
 	Type string
 	Zone string
 	Spot bool
 	Cap  model.Need
 	free model.Need
-	at   time.Duration // up from then on
-	ends []end
+	at   time.Duration // time from which the free capacity can be used
+	ends []projectedEnd
 }
 
-type end struct {
+type projectedEnd struct {
 	at   time.Duration
 	need model.Need
 	prio model.Priority
-	// held: what falls free then is taken again by work of that priority that is yet
-	// to come.
-	held bool
-	// queued: its team has more waiting than its limit lets it start, which takes it.
+	// retaken means that future jobs of this priority will take the capacity again when it
+	// becomes free.
+	retaken bool
+	// queued means that the task's team has more waiting tasks than its limit lets it
+	// start, and that these will take the capacity.
 	queued bool
 }
 
-// counts reports whether what falls free is there for work of the given priority.
-func (e *end) counts(prio model.Priority) bool {
-	return (!e.held || e.prio <= prio) && (!e.queued || e.prio < prio)
+// counts reports whether the capacity freed by this end is available to jobs of the
+// priority.
+func (e *projectedEnd) counts(prio model.Priority) bool {
+	return (!e.retaken || e.prio <= prio) && (!e.queued || e.prio < prio)
 }
 
-// Retaken says which part of what tasks of each priority leave is taken again by
-// work of theirs that is yet to come.
+// Retaken is, for each priority, the fraction of the capacity freed by its tasks that
+// future jobs of the same priority take again.
 type Retaken [model.Production + 1]float64
 
-// Projection estimates when waiting work will start if nothing is rented.
+// Projection estimates when waiting jobs will start if no more machines are rented.
 type Projection struct {
-	now   time.Duration
-	types map[string]*model.MachineType
-	Slots []*Slot
-	// Of the ends of each priority, evenly spread, a part is held.
-	retaken Retaken
-	due     Retaken
-	queued  map[string]bool // teams
+	now      time.Duration
+	types    map[string]*model.MachineType
+	Machines []*ProjectedMachine
+	// retaken is the fraction of the ends of each priority, evenly spread, to mark as retaken.
+	retaken     Retaken
+	retakenDebt Retaken
+	queuedTeams map[string]bool // teams with more waiting tasks than their limit lets them start
 }
 
-// held says whether the next end of the priority is one that is taken again.
-func (pr *Projection) held(prio model.Priority) bool {
-	pr.due[prio] += pr.retaken[prio]
-	if pr.due[prio] < 1 {
+// nextIsRetaken reports whether to mark the next end of the priority as retaken.
+func (pr *Projection) nextIsRetaken(prio model.Priority) bool {
+	pr.retakenDebt[prio] += pr.retaken[prio]
+	if pr.retakenDebt[prio] < 1 {
 		return false
 	}
-	pr.due[prio]--
+	pr.retakenDebt[prio]--
 	return true
 }
 
-// remaining estimates how long a placed task still takes.
-func remaining(p *ledger.Placement, now time.Duration, fetch float64) time.Duration {
+// remainingRun estimates how long a placed task still takes.
+func remainingRun(p *ledger.Placement, now time.Duration, fetch float64) time.Duration {
 	s := p.Job.Spec
 	if p.Stopping {
 		return time.Duration((s.SaveS + 1) * float64(time.Second))
@@ -78,31 +80,31 @@
 		return est + time.Duration(fetch*float64(time.Second)/2)
 	}
 	ran := now - p.RunSince
-	// One that runs for longer than its owner thought will take longer still.
+	// A task near or past its estimate is expected to run on for a quarter of its time so far.
 	return max(est-ran, ran/4, time.Second)
 }
 
-// NewProjection takes a snapshot of the machines in use. Of what falls free the work
-// of lower priority that waits gets what retaken leaves: with a fleet full of short
-// tasks, all that waited seemed to start within seconds, no machine was rented for it,
-// and what came meanwhile went first again and again (connect, steady).
+// NewProjection starts from the present state of the machines. Of the capacity that
+// becomes free, waiting jobs of lower priority get what retaken leaves. Without that, on a
+// cluster full of short tasks, all waiting jobs seemed to start within seconds, no machine
+// was rented for them, and new jobs of higher priority were repeatedly placed first.
 //
-// What a team with more work than its limit lets it start leaves is queued for: only
-// what it may start now is projected, and that must not wait for ends which the rest of
-// its work waits for as well. A team stayed at half of its limit for minutes with
-// thousands of tasks waiting (connect, steady).
+// Capacity that a team in queued frees is reserved for tasks of the team that its limit
+// keeps waiting: only tasks that the team may start now are projected, and these must not
+// wait for ends that its other tasks wait for as well. Without that, a team stayed at half
+// of its limit for minutes with thousands of tasks waiting.
 func NewProjection(l *ledger.Ledger, v *View, retaken Retaken, queued map[string]bool) *Projection {
-	pr := &Projection{now: v.Now, types: l.Types, retaken: retaken, queued: queued}
+	pr := &Projection{now: v.Now, types: l.Types, retaken: retaken, queuedTeams: queued}
 	n := 0
 	for _, m := range v.Machines {
 		n += len(m.P)
 	}
-	slots := make([]Slot, len(v.Machines))
-	ends := make([]end, 0, n)
-	pr.Slots = make([]*Slot, 0, len(v.Machines)+16)
+	machines := make([]ProjectedMachine, len(v.Machines))
+	ends := make([]projectedEnd, 0, n)
+	pr.Machines = make([]*ProjectedMachine, 0, len(v.Machines)+16)
 	for i, m := range v.Machines {
-		s := &slots[i]
-		*s = Slot{M: m, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap, free: m.Free(), at: v.Now}
+		s := &machines[i]
+		*s = ProjectedMachine{M: m, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap, free: m.Free(), at: v.Now}
 		t := l.Types[m.Type]
 		k := len(ends)
 		for _, p := range m.P {
@@ -111,29 +113,29 @@
 				fetch = p.Job.Spec.ImageGB / t.FetchGBs
 			}
 			prio := p.Job.Spec.Priority
-			ends = append(ends, end{v.Now + remaining(p, v.Now, fetch), p.Job.Spec.Need, prio, pr.held(prio), queued[p.Job.Spec.Team]})
+			ends = append(ends, projectedEnd{v.Now + remainingRun(p, v.Now, fetch), p.Job.Spec.Need, prio, pr.nextIsRetaken(prio), queued[p.Job.Spec.Team]})
 		}
 		s.ends = ends[k:len(ends):len(ends)]
-		slices.SortFunc(s.ends, func(a, b end) int { return cmp.Compare(a.at, b.at) })
-		pr.Slots = append(pr.Slots, s)
+		slices.SortFunc(s.ends, func(a, b projectedEnd) int { return cmp.Compare(a.at, b.at) })
+		pr.Machines = append(pr.Machines, s)
 	}
 	return pr
 }
 
-// Add puts in a machine that will be up at a time.
-func (pr *Projection) Add(s *Slot, at time.Duration) *Slot {
+// Add adds a machine that will be up at the given time.
+func (pr *Projection) Add(s *ProjectedMachine, at time.Duration) *ProjectedMachine {
 	s.at, s.free = max(at, pr.now), s.Cap
-	pr.Slots = append(pr.Slots, s)
+	pr.Machines = append(pr.Machines, s)
 	return s
 }
 
-func (s *Slot) allows(j *ledger.Job) bool {
+func (s *ProjectedMachine) allows(j *ledger.Job) bool {
 	sp := j.Spec
 	return sp.AllowsType(s.Type) && (sp.Zone == "" || sp.Zone == s.Zone) && (j.Zone == "" || j.Zone == s.Zone) && (sp.Spot || !s.Spot) && (s.M == nil || j.MayListen(s.M))
 }
 
-// earliest is when the need fits on the slot.
-func (s *Slot) earliest(n model.Need, prio model.Priority) (time.Duration, bool) {
+// earliest returns when the need first fits on the machine.
+func (s *ProjectedMachine) earliest(n model.Need, prio model.Priority) (time.Duration, bool) {
 	if n.Fits(s.free) {
 		return s.at, true
 	}
@@ -151,9 +153,9 @@
 	return 0, false
 }
 
-// take occupies the slot from a time on, for as long as the job runs. held and queued
-// say who takes what it leaves.
-func (s *Slot) take(at time.Duration, j *ledger.Job, held, queued bool) {
+// book occupies capacity of the machine from the given time on, for as long as the job
+// runs. retaken and queued mark the end of the run.
+func (s *ProjectedMachine) book(at time.Duration, j *ledger.Job, held, queued bool) {
 	n, prio := j.Spec.Need, j.Spec.Priority
 	k := 0
 	for i := range s.ends {
@@ -167,14 +169,14 @@
 	s.ends = s.ends[:k]
 	s.free = s.free.Sub(n)
 	s.at = max(s.at, at)
-	e := end{at + runs(j), n, prio, held, queued}
+	e := projectedEnd{at + expectedRun(j), n, prio, held, queued}
 	i := sort.Search(len(s.ends), func(i int) bool { return s.ends[i].at > e.at })
-	s.ends = append(s.ends, end{})
+	s.ends = append(s.ends, projectedEnd{})
 	copy(s.ends[i+1:], s.ends[i:])
 	s.ends[i] = e
 }
 
-func (pr *Projection) fetch(j *ledger.Job, s *Slot) time.Duration {
+func (pr *Projection) fetchTime(j *ledger.Job, s *ProjectedMachine) time.Duration {
 	if s.M != nil {
 		if _, ok := s.M.Images[j.Spec.Image]; ok {
 			return 0
@@ -186,112 +188,112 @@
 	return 0
 }
 
-// Queue has the slots a job may use, the one where a task would run first on
-// top.
-type Queue struct {
+// MachineQueue is a heap of the machines that a job may use, with the one where a task
+// would run first on top.
+type MachineQueue struct {
 	pr *Projection
 	j  *ledger.Job
-	h  []ready
+	h  []runnableAt
 }
 
-type ready struct {
-	s  *Slot
-	at time.Duration // the task would run then
+type runnableAt struct {
+	machine *ProjectedMachine
+	at      time.Duration // when the task would run
 }
 
-// Queue lists where single tasks of the job could run.
-func (pr *Projection) Queue(j *ledger.Job) *Queue {
-	q := &Queue{pr: pr, j: j, h: make([]ready, 0, len(pr.Slots))}
-	for _, s := range pr.Slots {
-		q.put(s)
+// MachineQueue returns the machines on which single tasks of the job could run.
+func (pr *Projection) MachineQueue(j *ledger.Job) *MachineQueue {
+	q := &MachineQueue{pr: pr, j: j, h: make([]runnableAt, 0, len(pr.Machines))}
+	for _, s := range pr.Machines {
+		q.tryAppend(s)
 	}
 	heap.Init(q)
 	return q
 }
 
-func (q *Queue) put(s *Slot) bool {
+func (q *MachineQueue) tryAppend(s *ProjectedMachine) bool {
 	if !s.allows(q.j) {
 		return false
 	}
 	t, ok := s.earliest(q.j.Spec.Need, q.j.Spec.Priority)
 	if ok {
-		q.h = append(q.h, ready{s, t + q.pr.fetch(q.j, s)})
+		q.h = append(q.h, runnableAt{s, t + q.pr.fetchTime(q.j, s)})
 	}
 	return ok
 }
 
-// Len and the next four methods are heap's.
-func (q *Queue) Len() int           { return len(q.h) }
-func (q *Queue) Less(a, b int) bool { return q.h[a].at < q.h[b].at }
-func (q *Queue) Swap(a, b int)      { q.h[a], q.h[b] = q.h[b], q.h[a] }
+// Len is part of heap.Interface, as are Less, Swap, Push and Pop.
+func (q *MachineQueue) Len() int           { return len(q.h) }
+func (q *MachineQueue) Less(a, b int) bool { return q.h[a].at < q.h[b].at }
+func (q *MachineQueue) Swap(a, b int)      { q.h[a], q.h[b] = q.h[b], q.h[a] }
 
-// Push does nothing: put has appended already.
-func (q *Queue) Push(any) {}
+// Push does nothing, because tryAppend has already appended the machine.
+func (q *MachineQueue) Push(any) {}
 
-// Pop takes the last one off.
-func (q *Queue) Pop() any {
+// Pop removes the last machine.
+func (q *MachineQueue) Pop() any {
 	x := q.h[len(q.h)-1]
 	q.h = q.h[:len(q.h)-1]
 	return x
 }
 
-// Add puts in a slot that was not there before.
-func (q *Queue) Add(s *Slot) {
-	if q.put(s) {
+// Add adds a machine that was not in the queue before.
+func (q *MachineQueue) Add(s *ProjectedMachine) {
+	if q.tryAppend(s) {
 		heap.Push(q, nil)
 	}
 }
 
-// First says when the next task would run; ok is false if it never would.
-func (q *Queue) First() (at time.Duration, ok bool) {
+// First returns when the next task would run; ok is false if it never would.
+func (q *MachineQueue) First() (at time.Duration, ok bool) {
 	if len(q.h) == 0 {
 		return 0, false
 	}
 	return q.h[0].at, true
 }
 
-// Take books a task on the first slot and returns it.
-func (q *Queue) Take() *Slot {
+// Book books a task on the first machine and returns the machine.
+func (q *MachineQueue) Book() *ProjectedMachine {
 	r := q.h[0]
-	r.s.take(r.at, q.j, q.pr.held(q.j.Spec.Priority), q.pr.queued[q.j.Spec.Team])
-	// Of tasks with one port only one fits.
-	if t, ok := r.s.earliest(q.j.Spec.Need, q.j.Spec.Priority); ok && (q.j.Port == 0 || q.j.PerTask) {
-		q.h[0].at = t + q.pr.fetch(q.j, r.s)
+	r.machine.book(r.at, q.j, q.pr.nextIsRetaken(q.j.Spec.Priority), q.pr.queuedTeams[q.j.Spec.Team])
+	// Tasks that share one port can not run on the same machine.
+	if t, ok := r.machine.earliest(q.j.Spec.Need, q.j.Spec.Priority); ok && (q.j.Port == 0 || q.j.PerTask) {
+		q.h[0].at = t + q.pr.fetchTime(q.j, r.machine)
 		heap.Fix(q, 0)
 	} else {
 		heap.Pop(q)
 	}
-	return r.s
+	return r.machine
 }
 
-func runs(j *ledger.Job) time.Duration {
+func expectedRun(j *ledger.Job) time.Duration {
 	if j.Spec.Kind == model.Service {
 		return time.Hour
 	}
 	return time.Duration(j.EstimateS() * float64(time.Second))
 }
 
-// Find says when n tasks of a gang would run at once, and where; ok is false if
-// they never would. Zone "" leaves the zone open.
-func (pr *Projection) Find(j *ledger.Job, n int, zone string) (at time.Duration, where []*Slot, ok bool) {
-	var cs []ready
-	for _, s := range pr.Slots {
+// FindGang returns when and where n tasks of a gang would run at the same time; ok is
+// false if they never would. If zone is "", any zone may be used.
+func (pr *Projection) FindGang(j *ledger.Job, n int, zone string) (at time.Duration, where []*ProjectedMachine, ok bool) {
+	var cs []runnableAt
+	for _, s := range pr.Machines {
 		if !s.allows(j) || (zone != "" && s.Zone != zone) {
 			continue
 		}
 		if t, ok := s.earliest(j.Spec.Need, j.Spec.Priority); ok {
-			cs = append(cs, ready{s, t + pr.fetch(j, s)})
+			cs = append(cs, runnableAt{s, t + pr.fetchTime(j, s)})
 		}
 	}
-	slices.SortStableFunc(cs, func(a, b ready) int { return cmp.Compare(a.at, b.at) })
-	byZone := map[string][]*Slot{}
+	slices.SortStableFunc(cs, func(a, b runnableAt) int { return cmp.Compare(a.at, b.at) })
+	byZone := map[string][]*ProjectedMachine{}
 	for _, c := range cs {
 		z := ""
 		if j.Spec.OneZone {
-			z = c.s.Zone
+			z = c.machine.Zone
 		}
-		// How many fit at once is left out: gangs mostly fill their machines.
-		byZone[z] = append(byZone[z], c.s)
+		// Count one task per machine, since tasks of gangs mostly fill their machines.
+		byZone[z] = append(byZone[z], c.machine)
 		if len(byZone[z]) == n {
 			return c.at, byZone[z], true
 		}
@@ -299,24 +301,24 @@
 	return 0, nil, false
 }
 
-// Ready counts, by zone, the slots on which a task of the job would run by the
-// given time.
-func (pr *Projection) Ready(j *ledger.Job, by time.Duration) map[string]int {
+// CountReadyByZone counts, by zone, the machines on which a task of the job would run by
+// the given time.
+func (pr *Projection) CountReadyByZone(j *ledger.Job, by time.Duration) map[string]int {
 	out := map[string]int{}
-	for _, s := range pr.Slots {
+	for _, s := range pr.Machines {
 		if !s.allows(j) {
 			continue
 		}
-		if t, ok := s.earliest(j.Spec.Need, j.Spec.Priority); ok && t+pr.fetch(j, s) <= by {
+		if t, ok := s.earliest(j.Spec.Need, j.Spec.Priority); ok && t+pr.fetchTime(j, s) <= by {
 			out[s.Zone]++
 		}
 	}
 	return out
 }
 
-// Take books what Find found.
-func (pr *Projection) Take(j *ledger.Job, at time.Duration, where []*Slot) {
+// BookGang books the machines that FindGang returned.
+func (pr *Projection) BookGang(j *ledger.Job, at time.Duration, where []*ProjectedMachine) {
 	for _, s := range where {
-		s.take(at, j, pr.held(j.Spec.Priority), pr.queued[j.Spec.Team])
+		s.book(at, j, pr.nextIsRetaken(j.Spec.Priority), pr.queuedTeams[j.Spec.Team])
 	}
 }
--- a/internal/placement/project_test.go
+++ b/internal/placement/project_test.go
@@ -8,9 +8,9 @@
 	"brooklb/internal/model"
 )
 
-// TestWhatIsTakenAgain guards the projection against taking every place that falls free
-// for the work that waits: what comes of higher priority takes its own again, and a team
-// that waits for its limit has a queue of its own for what it leaves.
+// TestWhatIsTakenAgain guards against a projection in which waiting jobs get all capacity
+// that becomes free. Future jobs of higher priority take their own again, and the waiting
+// tasks of a team at its limit take what the team frees.
 func TestWhatIsTakenAgain(t *testing.T) {
 	w := newWorld(1, 4)
 	spec := func(team string, prio model.Priority, tasks int, s float64) model.Spec {
@@ -21,11 +21,11 @@
 	w.job(spec("free", model.Low, 8, 100))
 	Run(w.l, w.v, w.l.Order(), func(*ledger.Job) {})
 	first := func(j *ledger.Job, retaken float64, queued map[string]bool) (at []time.Duration) {
-		q := NewProjection(w.l, w.v, Retaken{model.High: retaken}, queued).Queue(j)
+		q := NewProjection(w.l, w.v, Retaken{model.High: retaken}, queued).MachineQueue(j)
 		for range 17 {
 			if d, ok := q.First(); ok {
 				at = append(at, (d - w.v.Now).Round(time.Second))
-				q.Take()
+				q.Book()
 			}
 		}
 		return at
@@ -36,7 +36,7 @@
 		j         *ledger.Job
 		retaken   float64
 		queued    map[string]bool
-		soon, all int // of 17 tasks how many start within 15 s and within 70 s
+		soon, all int // how many of 17 tasks start within 15 s and within 70 s
 	}{
 		{"nothing is taken again", low, 0, nil, 16, 17},
 		{"half of it", low, 0.5, nil, 8, 17},
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -5,14 +5,15 @@
 	"brooklb/internal/model"
 )
 
-// Score rates a machine for a task of the job: seconds saved until it runs,
-// then how little whole room is broken.
+// Score rates a machine for a task of the job; higher is better. It counts the seconds
+// saved until the task runs and, in the same unit, a preference for machines that are
+// already in use.
 func Score(l *ledger.Ledger, v *View, j *ledger.Job, m *ledger.Machine) float64 {
 	s := 0.0
 	mt := l.Types[m.Type]
 	if _, ok := m.Images[j.Spec.Image]; !ok && mt != nil && mt.FetchGBs > 0 {
-		// Others that fetch share the rate; one that fetches the same image
-		// has a part of it already.
+		// Concurrent fetches share the rate. If the same image is being fetched, a part
+		// of it is already there.
 		others := 0
 		same := false
 		for i, p := range m.P {
@@ -42,11 +43,12 @@
 		s -= (m.Pace.Factor() - 1) * j.EstimateS()
 	}
 	if j.Spec.Priority >= model.High && m.Kept() >= ledger.DirectStarts(j.Spec.Priority) {
-		// Its start waits for the worker's next report, which comes sooner where much
-		// happens. Lesser work can wait, and goes where machines are filled best.
-		s -= min(m.Gap, v.Report).Seconds() / 2
+		// The start is sent in the answer to the worker's next report, which comes sooner
+		// from busy workers. Jobs of lower priority can wait for it, and go where they
+		// fill machines best.
+		s -= min(m.Gap, v.ReportInterval).Seconds() / 2
 	}
-	// Fill machines that are in use before empty ones.
+	// Prefer machines that are in use to empty ones.
 	used := 0.0
 	if m.Cap.GPUs > 0 {
 		used = (m.Used.GPUs + j.Spec.Need.GPUs) / m.Cap.GPUs
@@ -58,28 +60,28 @@
 		s += 5
 	}
 	if m.Spot {
-		s += spotGain - spotLoss(l, j)
+		s += spotGainS - spotLoss(l, j)
 	}
 	return s
 }
 
 const (
-	// Seconds that a spot machine's price is worth: what loses little by being
-	// taken away goes there and leaves the others to gangs.
-	spotGain = 10
-	// Seconds until a task that lost its machine runs again.
-	restart = 20
+	// spotGainS is the value of a spot machine's lower price, in seconds. Tasks that lose
+	// little by an interruption go there and leave the other machines to gangs.
+	spotGainS = 10
+	// restartS is the time until a task that lost its machine runs again, in seconds.
+	restartS = 20
 )
 
-// spotLoss is how many seconds of work are lost on average if one task of the
-// job runs on a spot machine. If that is taken away a gang stops as a whole.
+// spotLoss returns how many seconds of work are lost on average if one task of the job
+// runs on a spot machine. If that machine is taken back, a gang stops as a whole.
 func spotLoss(l *ledger.Ledger, j *ledger.Job) float64 {
 	s := j.Spec
 	lost := j.EstimateS() / 2
 	if s.CheckpointS > 0 {
 		lost = min(lost, s.CheckpointS/2+s.SaveS)
 	}
-	lost += restart
+	lost += restartS
 	run := j.EstimateS()
 	if s.Kind == model.Service {
 		run = 3600
--- a/internal/placement/units.go
+++ b/internal/placement/units.go
@@ -11,90 +11,93 @@
 	"brooklb/internal/units"
 )
 
-// Queues are the jobs that wait for counted resources. Most of the order is the
-// scheduler's own (Order); but a request for many units at once would never find
-// them free together while single ones keep being taken. The first such request of a
-// resource is its head: when it will have its units is projected from the ends of
-// what holds them, and until then later requests take only what is back by that
-// time, or is left over then.
-type Queues struct {
-	line  map[*units.Resource][]*ledger.Job
-	heads map[*units.Resource]*head
-	// ready is since when all that a request needs are free.
-	ready map[*ledger.Job]time.Duration
-	now   time.Duration
+// UnitQueues orders the jobs that wait for counted resources. Most of the order is that of
+// Order. But a request for many units at once would never find them free together while
+// requests for single units keep being granted. The first such request for a resource
+// therefore has a reservation: its start is projected from the ends of the tasks that hold
+// units, and until then later requests only get units that will be back by that time or
+// left over then.
+type UnitQueues struct {
+	waiting      map[*units.Resource][]*ledger.Job
+	reservations map[*units.Resource]*reservation
+	// readySince is the time since which all units that the job requests are free.
+	readySince map[*ledger.Job]time.Duration
+	now        time.Duration
 }
 
-type head struct {
-	j     *ledger.Job
-	need  int
-	at    time.Duration // enough are free by then
-	extra int           // and so many more
-	known time.Duration // when that was found out
+// reservation is the projected start of the first request for several units.
+type reservation struct {
+	j          *ledger.Job
+	need       int
+	at         time.Duration // when enough units are expected to be free
+	extra      int           // units expected to be free at that time beyond need
+	computedAt time.Duration // when the projection was made
 }
 
-// headEvery is how long a projection holds: it looks at all that hold units.
-const headEvery = time.Second
+// reservationRefresh is how long a projection stays valid. Making one is expensive,
+// because it examines all holders of the units.
+const reservationRefresh = time.Second
 
-// readyFor is how long units that are all there are kept for a request that doesn't
-// start: it waits for something else.
-const readyFor = 3 * time.Second
+// readyHoldTime is how long free units are kept for a request that has all it needs but
+// doesn't start, because it waits for something else.
+const readyHoldTime = 3 * time.Second
 
-// NewQueues makes empty queues; Refresh fills them.
-func NewQueues() *Queues {
-	return &Queues{heads: map[*units.Resource]*head{}, ready: map[*ledger.Job]time.Duration{}}
+// NewUnitQueues returns empty queues; Refresh fills them.
+func NewUnitQueues() *UnitQueues {
+	return &UnitQueues{reservations: map[*units.Resource]*reservation{}, readySince: map[*ledger.Job]time.Duration{}}
 }
 
-// Refresh lines the waiting jobs up.
-func (q *Queues) Refresh(l *ledger.Ledger, order []*ledger.Job, now time.Duration) {
-	q.line, q.now = nil, now
+// Refresh rebuilds the queues from the waiting jobs and updates the reservations.
+func (q *UnitQueues) Refresh(l *ledger.Ledger, order []*ledger.Job, now time.Duration) {
+	q.waiting, q.now = nil, now
 	for _, j := range order {
 		if !j.Asks() {
 			continue
 		}
-		if q.line == nil {
-			q.line = map[*units.Resource][]*ledger.Job{}
+		if q.waiting == nil {
+			q.waiting = map[*units.Resource][]*ledger.Job{}
 		}
-		l.Each(j, 1, func(r *units.Resource, _ int) { q.line[r] = append(q.line[r], j) })
+		l.Each(j, 1, func(r *units.Resource, _ int) { q.waiting[r] = append(q.waiting[r], j) })
 	}
-	for r := range q.heads {
-		if len(q.line[r]) == 0 {
-			delete(q.heads, r)
+	for r := range q.reservations {
+		if len(q.waiting[r]) == 0 {
+			delete(q.reservations, r)
 		}
 	}
-	for j := range q.ready {
+	for j := range q.readySince {
 		if !Waiting(j) {
-			delete(q.ready, j)
+			delete(q.readySince, j)
 		}
 	}
-	for r, js := range q.line {
+	for r, js := range q.waiting {
 		slices.SortStableFunc(js, func(a, b *ledger.Job) int { return before(r, a, b) })
-		q.heads[r] = q.head(l, r, js)
+		q.reservations[r] = q.reserve(l, r, js)
 	}
 }
 
-// before orders requests for a resource: teams below their share, priority, age.
+// before compares two jobs that wait for a resource: teams below their share come first,
+// then higher priority, then older jobs.
 func before(r *units.Resource, a, b *ledger.Job) int {
 	if x, y := r.Under(a.Spec.Team), r.Under(b.Spec.Team); x != y {
-		return first(x)
+		return trueFirst(x)
 	}
 	return cmp.Or(cmp.Compare(b.Spec.Priority, a.Spec.Priority), cmp.Compare(a.Since, b.Since), cmp.Compare(a.Spec.ID, b.Spec.ID))
 }
 
-// once is how many tasks of a job start together.
-func once(j *ledger.Job) int {
+// simultaneousTasks returns how many idle tasks of the job must start together.
+func simultaneousTasks(j *ledger.Job) int {
 	if j.Spec.Kind == model.Gang {
 		return j.Idle()
 	}
 	return 1
 }
 
-// head finds the first request of a line for several units at once that has to wait
-// for them, and projects its start.
-func (q *Queues) head(l *ledger.Ledger, r *units.Resource, js []*ledger.Job) *head {
+// reserve finds the first request in a queue that needs several units at once and will
+// have them, and projects when it can start. It returns nil if there is none.
+func (q *UnitQueues) reserve(l *ledger.Ledger, r *units.Resource, js []*ledger.Job) *reservation {
 	for _, j := range js {
 		need := 0
-		l.Each(j, once(j), func(x *units.Resource, n int) {
+		l.Each(j, simultaneousTasks(j), func(x *units.Resource, n int) {
 			if x == r {
 				need += n
 			}
@@ -103,40 +106,40 @@
 		if need < 2 || j.Faulty() {
 			continue
 		}
-		old := q.heads[r]
+		old := q.reservations[r]
 		if old != nil && (old.j != j || old.need != need) {
 			old = nil
 		}
 		if free >= need {
-			// All are there: they are kept for it while others are placed before it, but
-			// not while it waits for machines.
-			since, ok := q.ready[j]
+			// All units are free. Keep them while other jobs are placed before this one,
+			// but not for longer than readyHoldTime, while it waits for machines.
+			since, ok := q.readySince[j]
 			if !ok {
 				since = q.now
-				q.ready[j] = since
+				q.readySince[j] = since
 			}
-			if q.now-since > readyFor {
+			if q.now-since > readyHoldTime {
 				continue
 			}
-			return &head{j: j, need: need, at: q.now, extra: free - need, known: q.now - headEvery}
+			return &reservation{j: j, need: need, at: q.now, extra: free - need, computedAt: q.now - reservationRefresh}
 		}
-		if _, ok := q.ready[j]; ok {
-			delete(q.ready, j)
+		if _, ok := q.readySince[j]; ok {
+			delete(q.readySince, j)
 			old = nil
 		}
-		if old != nil && q.now-old.known < headEvery {
+		if old != nil && q.now-old.computedAt < reservationRefresh {
 			return old
 		}
-		type back struct {
+		type unitsBack struct {
 			at time.Duration
 			n  int
 		}
-		ends := make([]back, 0, len(r.Holders))
-		for who, n := range r.Holders {
-			ends = append(ends, back{q.end(l, who), n})
+		ends := make([]unitsBack, 0, len(r.Holders))
+		for holder, n := range r.Holders {
+			ends = append(ends, unitsBack{q.expectedEnd(l, holder), n})
 		}
-		slices.SortFunc(ends, func(a, b back) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.n, b.n)) })
-		h := &head{j: j, need: need, known: q.now, at: q.now}
+		slices.SortFunc(ends, func(a, b unitsBack) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.n, b.n)) })
+		h := &reservation{j: j, need: need, computedAt: q.now, at: q.now}
 		sum := free
 		for _, e := range ends {
 			if sum >= need {
@@ -146,11 +149,11 @@
 			h.at = e.at
 		}
 		if sum < need || r.There() < need {
-			continue // as things are it never has them: it keeps nobody waiting
+			continue // its units won't be free when all holders end, so it must not block others
 		}
 		if old != nil {
-			// Tasks that run for longer than was thought must not put it off: others
-			// would always find time for one more.
+			// Tasks that run longer than estimated must not postpone the projected start:
+			// other requests could always fit in one more task before it.
 			h.at = min(h.at, old.at)
 		}
 		for _, e := range ends {
@@ -164,25 +167,25 @@
 	return nil
 }
 
-// end is when a holder's units will probably be back.
-func (q *Queues) end(l *ledger.Ledger, who units.Holder) time.Duration {
-	one := func(p *ledger.Placement) time.Duration {
+// expectedEnd estimates when a holder returns its units.
+func (q *UnitQueues) expectedEnd(l *ledger.Ledger, holder units.Holder) time.Duration {
+	placementEnd := func(p *ledger.Placement) time.Duration {
 		fetch := 0.0
 		if t := l.Types[p.M.Type]; t != nil && t.FetchGBs > 0 && p.Phase == model.Fetching {
 			fetch = p.Job.Spec.ImageGB / t.FetchGBs
 		}
-		return q.now + remaining(p, q.now, fetch)
+		return q.now + remainingRun(p, q.now, fetch)
 	}
-	switch h := who.(type) {
+	switch h := holder.(type) {
 	case *ledger.Placement:
-		return one(h)
+		return placementEnd(h)
 	case *ledger.Job:
 		last := q.now
 		for i := range h.Tasks {
 			if p := h.Tasks[i].P; p != nil {
-				last = max(last, one(p))
+				last = max(last, placementEnd(p))
 			} else if !h.Tasks[i].Done {
-				last = max(last, q.now+runs(h)) // it keeps them until all are through
+				last = max(last, q.now+expectedRun(h)) // the job keeps its units until all its tasks have ended
 			}
 		}
 		return last
@@ -190,53 +193,54 @@
 	return q.now
 }
 
-// Allow reports whether n more tasks of the job may take their units now. If not,
-// the job is told why.
-func (q *Queues) Allow(l *ledger.Ledger, j *ledger.Job, n int) bool {
+// Allow reports whether n more tasks of the job may take their units now. If not, it sets
+// the reason in j.Waits.
+func (q *UnitQueues) Allow(l *ledger.Ledger, j *ledger.Job, n int) bool {
 	if !j.Asks() {
 		return true
 	}
 	if r, need := l.Short(j, n); r != nil {
-		j.Waits = r.Why(need, j.Spec.Team, j.Spec.Priority) + holder(r) + q.position(r, j)
+		j.Waits = r.Why(need, j.Spec.Team, j.Spec.Priority) + describeHolder(r) + q.position(r, j)
 		return false
 	}
 	if q == nil {
 		return true
 	}
-	var kept *units.Resource
+	var reserved *units.Resource
 	l.Each(j, n, func(r *units.Resource, need int) {
-		h := q.heads[r]
+		h := q.reservations[r]
 		if h == nil || h.j == j || before(r, j, h.j) < 0 || need <= h.extra {
 			return
 		}
-		if j.Spec.Kind != model.Service && q.now+runs(j)+backfillSlack <= h.at {
+		if j.Spec.Kind != model.Service && q.now+expectedRun(j)+backfillSlack <= h.at {
 			return
 		}
-		kept = r
+		reserved = r
 	})
-	if kept != nil {
-		h := q.heads[kept]
-		j.Waits = fmt.Sprintf("units of %s are kept for %s, which needs %d at once and came first", kept.Name, h.j.Spec.ID, h.need) + q.position(kept, j)
+	if reserved != nil {
+		h := q.reservations[reserved]
+		j.Waits = fmt.Sprintf("units of %s are kept for %s, which needs %d at once and came first", reserved.Name, h.j.Spec.ID, h.need) + q.position(reserved, j)
 		return false
 	}
 	l.Each(j, n, func(r *units.Resource, need int) {
-		if h := q.heads[r]; h != nil && h.j != j && q.now+runs(j)+backfillSlack > h.at {
+		if h := q.reservations[r]; h != nil && h.j != j && q.now+expectedRun(j)+backfillSlack > h.at {
 			h.extra -= need
 		}
 	})
 	return true
 }
 
-// backfillSlack is what a task takes besides its run: the write, the fetch, the
-// report of its end.
+// backfillSlack is the time a task takes besides its run, until its end is known: writing
+// the placement, fetching the image and reporting the end.
 const backfillSlack = 5 * time.Second
 
-// holder names one that has units, for somebody who waits for them.
-func holder(r *units.Resource) string {
+// describeHolder names one holder of units of the resource, as part of the reason for a
+// wait.
+func describeHolder(r *units.Resource) string {
 	name := ""
-	for who := range r.Holders {
+	for holder := range r.Holders {
 		s := ""
-		switch h := who.(type) {
+		switch h := holder.(type) {
 		case *ledger.Placement:
 			s = fmt.Sprintf("%s/%d on %s", h.Job.Spec.ID, h.Task, h.M.Name)
 		case *ledger.Job:
@@ -246,7 +250,7 @@
 			name = s
 		}
 		if len(r.Holders) > 64 {
-			break // one of many; no look at all of them
+			break // any of them will do, so don't visit a long list
 		}
 	}
 	if name == "" {
@@ -255,38 +259,40 @@
 	return ", by " + name + map[bool]string{true: " and others"}[len(r.Holders) > 1]
 }
 
-func (q *Queues) position(r *units.Resource, j *ledger.Job) string {
+// position returns the job's place in the queue, as part of the reason for a wait.
+func (q *UnitQueues) position(r *units.Resource, j *ledger.Job) string {
 	if q == nil {
 		return ""
 	}
-	if i := slices.Index(q.line[r], j); i >= 0 {
-		return fmt.Sprintf("; place %d of %d in its queue", i+1, len(q.line[r]))
+	if i := slices.Index(q.waiting[r], j); i >= 0 {
+		return fmt.Sprintf("; place %d of %d in its queue", i+1, len(q.waiting[r]))
 	}
 	return ""
 }
 
-// Waiting is how many jobs are in line for the resource.
-func (q *Queues) Waiting(r *units.Resource) int {
+// Waiting returns how many jobs are in the queue for the resource.
+func (q *UnitQueues) Waiting(r *units.Resource) int {
 	if q == nil {
 		return 0
 	}
-	return len(q.line[r])
+	return len(q.waiting[r])
 }
 
-// freeUnits stops lesser work that holds the units which a job is short of, what
-// loses least; nil if that can't help it.
-func (st *Stops) freeUnits(j *ledger.Job) []*ledger.Placement {
-	r, need := st.l.Short(j, once(j))
+// preemptForUnits returns tasks of lower priority to stop so that the job gets the units
+// that it lacks. It chooses those that lose the least work, and returns nil if that can't
+// help.
+func (st *Preemptor) preemptForUnits(j *ledger.Job) []*ledger.Placement {
+	r, need := st.l.Short(j, simultaneousTasks(j))
 	if r == nil || need > r.There() {
 		return nil
 	}
 	if p := r.Rec.Teams[j.Spec.Team]; p.Most > 0 && p.Most < need+r.Used-r.There()+r.Free(j.Spec.Team, j.Spec.Priority) {
-		return nil // its own team's limit
+		return nil // the limit of the job's own team is the obstacle
 	}
 	missing := need - r.Free(j.Spec.Team, j.Spec.Priority)
 	var vs []victim
-	for who, n := range r.Holders {
-		p, ok := who.(*ledger.Placement)
+	for holder, n := range r.Holders {
+		p, ok := holder.(*ledger.Placement)
 		if !ok {
 			continue
 		}
@@ -294,7 +300,7 @@
 			missing -= n
 			continue
 		}
-		if c, ok := loss(p, st.v.Now); ok && st.mayStop(j, p) && p.Job.Spec.Priority < j.Spec.Priority {
+		if c, ok := lossOf(p, st.v.Now); ok && st.mayPreempt(j, p) && p.Job.Spec.Priority < j.Spec.Priority {
 			vs = append(vs, victim{p, c})
 		}
 	}
