--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -1,8 +1,7 @@
-// Package actor holds what every actor of a process shares: the clock it is
-// given, timers, outgoing calls and the single queue on which all actors of a
-// process run one after the other. Nothing in it reads the real clock, opens a
-// socket or starts a goroutine, so that a simulator can run several processes
-// in one thread with a seed.
+// Package actor defines what all actors of a process share: a clock, timers, outgoing calls and
+// the single thread on which they run one after the other. Nothing in it reads the real clock,
+// opens a socket or starts a goroutine, so that a simulator can run several processes in one
+// thread, reproducibly from a seed.
 package actor
 
 import (
@@ -13,12 +12,12 @@
 	"time"
 )
 
-// Env is the world as an actor sees it. All methods are called from the one
-// thread that runs the actors, and every continuation runs there too.
+// Env is an actor's environment. All methods are called from the one thread that runs the
+// actors, and every continuation runs there too.
 type Env interface {
-	// Now is the steady clock, counted from the start of the process.
+	// Now is the time of the monotonic clock since the start of the process.
 	Now() time.Duration
-	// Wall is the time of day, which wanders within the configured bound.
+	// Wall is the time of day, which may be wrong within the configured bound.
 	Wall() time.Time
 	Rand() *rand.Rand
 	After(d time.Duration, f func()) *Timer
@@ -29,81 +28,81 @@
 
 // Call is one outgoing request.
 type Call struct {
-	Addr    string
-	Method  string
-	Path    string
-	Body    []byte
-	Type    string // content type, JSON when empty
-	Timeout time.Duration
-	Once    bool // on a connection of its own, which is closed after the answer
-	Done    func(Answer)
+	Addr             string
+	Method           string
+	Path             string
+	Body             []byte
+	Type             string // content type, JSON when empty
+	Timeout          time.Duration
+	DisableKeepAlive bool // use a new connection and close it after the answer
+	Done             func(Answer)
 }
 
-// ErrNotSent says that no connection could be had: the peer has seen nothing.
+// ErrNotSent means that no connection could be made, so the peer has received nothing.
 var ErrNotSent = errors.New("not sent")
 
-// ErrRefused says, together with ErrNotSent, that the host itself refused the
-// connection: nobody listens there.
+// ErrRefused means, together with ErrNotSent, that the host itself refused the connection
+// because nothing listens there.
 var ErrRefused = errors.New("connection refused")
 
-// ErrNoAnswer says that the request may have been executed, or may still be.
+// ErrNoAnswer means that the request may have been executed, or may still be.
 var ErrNoAnswer = errors.New("no answer")
 
-// Answer is what came of a Call. Status is 0 when Err is set.
+// Answer is the result of a Call. Status is 0 when Err is set.
 type Answer struct {
 	Status int
 	Body   []byte
 	Err    error
 }
 
-// Unsent reports whether the request certainly reached nobody.
+// Unsent reports whether the request certainly reached no peer.
 func (a Answer) Unsent() bool { return errors.Is(a.Err, ErrNotSent) }
 
-// LongPause is from how long on a gap in a process's own time counts as one it
-// did not live through: its clocks ran on, but nothing was read, sent or decided.
-// It is longer than a busy processor's pauses and shorter than every lease.
+// LongPause is the shortest gap in a process's clock that counts as a pause of the process: its
+// clocks ran on, but it read, sent and decided nothing. It is longer than delays on a busy
+// processor and shorter than every lease.
 const LongPause = 1500 * time.Millisecond
 
 // Timer is a pending call of a function.
 type Timer struct {
-	at   time.Duration
-	seq  uint64
-	f    func()
-	pos  int
-	dead bool
+	at       time.Duration
+	seq      uint64
+	callback func()
+	index    int
+	done     bool
 }
 
 // Stop prevents the timer from firing.
 func (t *Timer) Stop() {
 	if t != nil {
-		t.dead = true
-		t.f = nil
+		t.done = true
+		t.callback = nil
 	}
 }
 
 // Timers is the queue of an Env's pending timers.
 type Timers struct {
-	h   timerHeap
-	seq uint64
+	pending timerHeap
+	seq     uint64
 }
 
-// Add schedules f at the given time of the steady clock.
+// Add schedules f at the given time of the monotonic clock.
 func (q *Timers) Add(at time.Duration, f func()) *Timer {
 	q.seq++
-	t := &Timer{at: at, seq: q.seq, f: f}
-	heap.Push(&q.h, t)
+	t := &Timer{at: at, seq: q.seq, callback: f}
+	heap.Push(&q.pending, t)
 	return t
 }
 
 // Next returns the time of the earliest timer.
 func (q *Timers) Next() (time.Duration, bool) {
-	for len(q.h) > 0 && q.h[0].dead {
-		heap.Pop(&q.h)
+	for len(q.pending) > 0 && q.pending[0].done {
+		heap.Pop(&q.pending)
 	}
-	if len(q.h) == 0 {
+	if len(q.pending) == 0 {
 		return 0, false
 	}
-	return q.h[0].at, true
+	return q.pending[0].at, true
 }
 
 // Run fires every timer due at now, in order.
@@ -113,9 +112,9 @@
 		if !ok || at > now {
 			return
 		}
-		t := heap.Pop(&q.h).(*Timer)
-		f := t.f
-		t.dead = true
+		t := heap.Pop(&q.pending).(*Timer)
+		f := t.callback
+		t.done = true
 		f()
 	}
 }
@@ -129,8 +128,8 @@
 	}
 	return h[i].seq < h[j].seq
 }
-func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].pos = i; h[j].pos = j }
-func (h *timerHeap) Push(x any)   { t := x.(*Timer); t.pos = len(*h); *h = append(*h, t) }
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].index = i; h[j].index = j }
+func (h *timerHeap) Push(x any)   { t := x.(*Timer); t.index = len(*h); *h = append(*h, t) }
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
@@ -139,15 +138,14 @@
 	return t
 }
 
-// Bucket is a token bucket that never lets more than rate per second through,
-// with one second's worth in a burst.
+// Bucket is a token bucket with a rate per second and a burst.
 type Bucket struct {
 	rate, burst, level float64
 	last               time.Duration
 	started            bool
 }
 
-// SetRate changes the rate and the burst.
+// SetRate changes the rate and the burst. The first call fills the bucket.
 func (b *Bucket) SetRate(rate, burst float64) {
 	b.rate, b.burst = rate, burst
 	if !b.started {
@@ -157,10 +155,10 @@
 	b.level = min(b.level, burst)
 }
 
-// Drain leaves no more than the given level.
+// Drain lowers the level to at most the given one.
 func (b *Bucket) Drain(to float64) { b.level = min(b.level, to) }
 
-// Take takes n if at least n+keep are there.
+// Take removes n tokens if at least n+keep are available, and reports whether it did.
 func (b *Bucket) Take(now time.Duration, n, keep float64) bool {
 	b.level = min(b.burst, b.level+b.rate*(now-b.last).Seconds())
 	b.last = now
@@ -171,13 +169,13 @@
 	return true
 }
 
-// Level is how much could be taken now.
+// Level is how many tokens are available now.
 func (b *Bucket) Level(now time.Duration) float64 {
 	return min(b.burst, b.level+b.rate*(now-b.last).Seconds())
 }
 
-// Rate is how much comes in a second.
+// Rate is how many tokens are added per second.
 func (b *Bucket) Rate() float64 { return b.rate }
 
-// Burst is the most that Level can be.
+// Burst is the highest possible level.
 func (b *Bucket) Burst() float64 { return b.burst }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission serves users on every node: it accepts, shows and cancels
-// jobs. It tells only what is durable, and refuses at once what it can't tell.
+// Package admission serves users on every node: it accepts, shows and cancels jobs. It reports
+// only durable state, and refuses a request immediately if it can't determine that state.
 package admission
 
 import (
@@ -23,29 +23,30 @@
 	"brooklb/internal/wire"
 )
 
-// Actor serves users.
+// Actor serves users' requests about jobs.
 type Actor struct {
 	env   actor.Env
 	store *statestore.Store
 	teams map[string]settings.Team
 	types []model.MachineType
 	zones map[string]bool
-	// Live gives the leader's own counts of a job, where this node leads.
+	// Live returns the leader's own counts of a job. ok is false if this node doesn't lead or
+	// doesn't know the job.
 	Live func(id string) (done, running int, why string, ok bool)
-	// Elsewhere passes a request on to a node that may be able to answer it; false
-	// if there is none.
-	Elsewhere func(r *httpx.Request, done func(resp httpx.Response, ok bool)) bool
-	// Units says why a job could never have the counted resources that it asks for;
-	// understood is false while a controller runs that doesn't count them.
-	Units func(s *model.Spec) (understood bool, err error)
-	// Gate is the door for submissions; nil: all are let in.
+	// Relay forwards a request to a node that may be able to answer it. It returns false if
+	// there is none.
+	Relay func(r *httpx.Request, done func(resp httpx.Response, ok bool)) bool
+	// CheckUnits returns an error if a job could never have the counted resources that it asks
+	// for. understood is false while a controller runs whose program doesn't count them.
+	CheckUnits func(s *model.Spec) (understood bool, err error)
+	// Gate admits submissions. If it is nil, all are admitted.
 	Gate    *intake.Gate
 	pumping bool
-	// Healthy tells whether the node can take requests.
+	// Healthy reports whether the node can take requests.
 	Healthy func() bool
 }
 
-// New makes the actor.
+// New returns the actor of a node.
 func New(env actor.Env, store *statestore.Store, teams []settings.Team, zones []string) *Actor {
 	a := &Actor{env: env, store: store, teams: map[string]settings.Team{}, zones: map[string]bool{}}
 	for _, t := range teams {
@@ -67,20 +68,21 @@
 	return a
 }
 
-// Serve answers a user's request; it returns false for paths of others. What
-// can't be answered for want of the state service is passed on to another node
-// once, unless it was passed on to us.
+// Serve answers a user's request; it returns false for paths that other packages serve. A
+// request that can't be answered because the state service can't be reached is forwarded once
+// to another node, unless another node has forwarded it to this one.
 func (a *Actor) Serve(r *httpx.Request, passedOn bool, reply func(httpx.Response)) bool {
-	if passedOn || a.Elsewhere == nil || r.Path == wire.PathHealth {
+	if passedOn || a.Relay == nil || r.Path == wire.PathHealth {
 		return a.serve(r, reply)
 	}
-	// The request's buffer is used again when the answer comes later.
-	again := &httpx.Request{Method: r.Method, Path: r.Path, Body: append([]byte(nil), r.Body...)}
+	// The request's buffer may be reused before the answer comes.
+	saved := &httpx.Request{Method: r.Method, Path: r.Path, Body: append([]byte(nil), r.Body...)}
 	return a.serve(r, func(resp httpx.Response) {
 		if resp.Status != answer.Unavailable.Status || !bytes.Equal(resp.Body, answer.Unavailable.Body) ||
-			// Polls are many and come again: only if we are cut off.
-			again.Method == "GET" && !a.cutOff() ||
-			!a.Elsewhere(again, func(other httpx.Response, ok bool) {
+			// Polls are frequent and repeated, so they are forwarded only if this node is cut
+			// off.
+			saved.Method == "GET" && !a.cutOff() ||
+			!a.Relay(saved, func(other httpx.Response, ok bool) {
 				if !ok {
 					other = resp
 				}
@@ -91,11 +93,11 @@
 	})
 }
 
-// silentFor is for how long the state service has not answered a node that is
-// cut off.
-const silentFor = 700 * time.Millisecond
+// cutOffAfter is how long the state service must have been silent for a node to count as cut
+// off.
+const cutOffAfter = 700 * time.Millisecond
 
-func (a *Actor) cutOff() bool { return a.env.Now()-a.store.Contact() >= silentFor }
+func (a *Actor) cutOff() bool { return a.env.Now()-a.store.Contact() >= cutOffAfter }
 
 func (a *Actor) serve(r *httpx.Request, reply func(httpx.Response)) bool {
 	switch {
@@ -142,16 +144,16 @@
 	return true
 }
 
-// Check finds out whether the job can ever run; known is false while the machine
-// types aren't.
+// Check returns an error if the job can never run. known is false while that can't be decided:
+// the machine types aren't known, or a controller doesn't count resources.
 func (a *Actor) Check(s *model.Spec) (known bool, err error) {
 	if len(a.types) == 0 {
 		return false, nil
 	}
-	if err := a.check(s); err != nil || len(s.Units) == 0 || a.Units == nil {
+	if err := a.check(s); err != nil || len(s.Units) == 0 || a.CheckUnits == nil {
 		return true, err
 	}
-	return a.Units(s)
+	return a.CheckUnits(s)
 }
 
 func (a *Actor) check(s *model.Spec) error {
@@ -209,17 +211,17 @@
 		return
 	}
 	if err := a.check(s); err != nil {
-		a.unlessKnown(s.ID, answer.Refuse(422, 0, "%v", err), reply)
+		a.refuseUnlessRecorded(s.ID, answer.Refuse(422, 0, "%v", err), reply)
 		return
 	}
-	if len(s.Units) > 0 && a.Units != nil {
-		understood, err := a.Units(s)
+	if len(s.Units) > 0 && a.CheckUnits != nil {
+		understood, err := a.CheckUnits(s)
 		if errors.Is(err, units.ErrUnreadable) {
 			reply(answer.Refuse(503, 5, "%v", err))
 			return
 		}
 		if err != nil {
-			a.unlessKnown(s.ID, answer.Refuse(422, 0, "%v", err), reply)
+			a.refuseUnlessRecorded(s.ID, answer.Refuse(422, 0, "%v", err), reply)
 			return
 		}
 		if !understood {
@@ -231,7 +233,7 @@
 	rec := ledger.NewRecord(s, a.env.Wall().UnixMilli(), nonce, ledger.ChunkTasks(a.store.Config().ValueBytes))
 	t := wire.Txn{When: []wire.Cond{{Path: key}}, Apply: []wire.Change{{Write: key, Value: rec.Encode()}}}
 	if len(t.Apply[0].Value) > a.store.Config().ValueBytes {
-		a.unlessKnown(s.ID, answer.Refuse(400, 0, "the description is too long"), reply)
+		a.refuseUnlessRecorded(s.ID, answer.Refuse(400, 0, "the description is too long"), reply)
 		return
 	}
 	if a.Gate == nil {
@@ -247,10 +249,11 @@
 	}
 }
 
-// unlessKnown answers with the refusal, unless the state service knows the job. It guards a
-// repeated submission against 422 at a node whose replica is behind, while another node, which
-// knew other machine types, has accepted it: that counts as forgotten.
-func (a *Actor) unlessKnown(id string, refusal httpx.Response, reply func(httpx.Response)) {
+// refuseUnlessRecorded answers with the refusal, unless the state service has a record of the
+// job. Otherwise a node whose replica is behind could answer a repeated submission with 422
+// although another node, which knew other machine types, has accepted the job. That would count
+// as a lost job.
+func (a *Actor) refuseUnlessRecorded(id string, refusal httpx.Response, reply func(httpx.Response)) {
 	a.store.Read(ledger.JobKey(id), func(it *statestore.Item, ok bool) {
 		switch {
 		case !ok:
@@ -258,12 +261,12 @@
 		case it == nil:
 			reply(refusal)
 		default:
-			a.tell(id, it, reply)
+			a.replyWithJob(id, it, reply)
 		}
 	})
 }
 
-// pumpEvery is how often the door looks for room while somebody waits at it.
+// pumpEvery is how often the gate checks for room while submissions wait.
 const pumpEvery = 20 * time.Millisecond
 
 func (a *Actor) pump() {
@@ -273,7 +276,8 @@
 	}
 }
 
-// Paused hears that the process was paused: who waited at the door may have given up.
+// Paused is called when the process was paused. It refuses the submissions that wait, since
+// their users may have given up.
 func (a *Actor) Paused() {
 	if a.Gate != nil {
 		a.Gate.Drop(a.env.Now())
@@ -290,7 +294,7 @@
 		case statestore.OK:
 			accepted()
 		case statestore.Conflict:
-			// There already: by a retry, or by an earlier copy of this write.
+			// The job exists already, by a retry or by an earlier copy of this write.
 			a.store.Get(t.When[0].Path, func(it *statestore.Item, ok bool) {
 				if !ok || it == nil {
 					reply(answer.Unavailable)
@@ -301,7 +305,7 @@
 					accepted()
 					return
 				}
-				a.tell(s.ID, it, reply)
+				a.replyWithJob(s.ID, it, reply)
 			})
 		case statestore.Maybe:
 			if tries > 3 || tries > 0 && !a.cutOff() {
@@ -323,18 +327,18 @@
 	key := ledger.JobKey(id)
 	if it, ok := a.store.Peek(key); ok {
 		if rec, err := ledger.DecodeRecord(id, it.Value); err == nil && rec.Final != ledger.Open {
-			a.tell(id, &it, reply) // an end is final, nothing to ask
+			a.replyWithJob(id, &it, reply) // an ended job doesn't change any more
 			return
 		}
 	}
-	a.unlessKnown(id, answer.Refuse(404, 0, "no such job"), reply)
+	a.refuseUnlessRecorded(id, answer.Refuse(404, 0, "no such job"), reply)
 }
 
-// tell shows a job as its record says.
-func (a *Actor) tell(id string, it *statestore.Item, reply func(httpx.Response)) {
+// replyWithJob answers with a job's state, by its record and the counts of its tasks.
+func (a *Actor) replyWithJob(id string, it *statestore.Item, reply func(httpx.Response)) {
 	rec, err := ledger.DecodeRecord(id, it.Value)
 	if err != nil {
-		a.env.Log().Error("job record can't be read, kept as it is", "key", ledger.JobKey(id), "err", err)
+		a.env.Log().Error("job record can't be read, left unchanged", "key", ledger.JobKey(id), "err", err)
 		reply(answer.Refuse(503, 5, "the job's record can't be read"))
 		return
 	}
@@ -351,7 +355,7 @@
 			done, running, st.Why, ok = a.Live(id)
 		}
 		if !ok {
-			done, running, st.Why = a.count(id, rec.Chunks())
+			done, running, st.Why = a.countTasks(id, rec.Chunks())
 		}
 		st.Phase = wire.JobPending
 		if running > 0 {
@@ -361,13 +365,13 @@
 	reply(httpx.Response{Status: 200, Body: wire.Encode(st)})
 }
 
-func (a *Actor) count(id string, chunks int) (done, running int, why string) {
+func (a *Actor) countTasks(id string, chunks int) (done, running int, why string) {
 	for n := range chunks {
 		key := ledger.ChunkKey(id, n)
 		if it, ok := a.store.Peek(key); ok {
 			d, r, w, err := ledger.CountChunk(key, it.Value)
 			if err != nil {
-				a.env.Log().Error("chunk can't be read, kept as it is", "key", key, "err", err)
+				a.env.Log().Error("chunk can't be read, left unchanged", "key", key, "err", err)
 				continue
 			}
 			done += d
@@ -413,11 +417,12 @@
 		a.store.Commit(t, false, func(r statestore.Result, _ uint64, _ []string) {
 			switch {
 			case r == statestore.OK:
-				_, placed, _ := a.count(id, rec.Chunks())
+				_, placed, _ := a.countTasks(id, rec.Chunks())
 				a.env.Log().Info("job cancelled", "job", id, "placed", placed)
 				reply(httpx.Response{Status: 200, Body: wire.Encode(wire.JobState{Ref: id, Phase: wire.JobCancelled})})
 			case (r == statestore.Conflict || r == statestore.Maybe) && tries > 0:
-				// Look again: it may be done, or an earlier copy was applied.
+				// Read the record again: the job may be done, or an earlier copy of this write
+				// may have been applied.
 				a.env.After(20*time.Millisecond, func() { a.cancel(id, tries-1, reply) })
 			default:
 				reply(answer.Unavailable)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,8 +8,8 @@
 	"brooklb/internal/settings"
 )
 
-// TestNeverRuns guards what is refused since it can never run, with two types of machine,
-// of which one is not in each zone, and limits in CPUs.
+// TestNeverRuns checks that a job is refused if it can never run. There are two machine types,
+// of which neither is in every zone, and team limits in CPUs.
 func TestNeverRuns(t *testing.T) {
 	a := &Actor{teams: map[string]settings.Team{"t": {Name: "t", CPUs: 10, CPUsMax: 40}, "free": {Name: "free"}}, types: []model.MachineType{
 		{Name: "small", Cap: model.Need{CPUs: 4, MemGB: 16}, Zones: []string{"a", "b"}},
@@ -21,17 +21,17 @@
 	}{
 		{"fits both", "", model.Spec{Team: "free", Need: model.Need{CPUs: 4, MemGB: 16}}},
 		{"fits the large one only", "", model.Spec{Team: "free", Need: model.Need{CPUs: 4.2, MemGB: 10}}},
-		{"and only where that is", "fits no", model.Spec{Team: "free", Zone: "b", Need: model.Need{CPUs: 4.2, MemGB: 10}}},
-		{"nor a type that isn't in the zone", "fits no", model.Spec{Team: "free", Zone: "c", Types: []string{"small"}, Need: model.Need{CPUs: 1}}},
-		{"by memory", "fits no", model.Spec{Team: "free", Need: model.Need{CPUs: 1, MemGB: 64.1}}},
-		{"by CPUs", "fits no", model.Spec{Team: "free", Need: model.Need{CPUs: 16.1, MemGB: 1}}},
+		{"the large one is not in the zone", "fits no", model.Spec{Team: "free", Zone: "b", Need: model.Need{CPUs: 4.2, MemGB: 10}}},
+		{"the allowed type is not in the zone", "fits no", model.Spec{Team: "free", Zone: "c", Types: []string{"small"}, Need: model.Need{CPUs: 1}}},
+		{"too much memory", "fits no", model.Spec{Team: "free", Need: model.Need{CPUs: 1, MemGB: 64.1}}},
+		{"too many CPUs", "fits no", model.Spec{Team: "free", Need: model.Need{CPUs: 16.1, MemGB: 1}}},
 		{"no machine has GPUs", "fits no", model.Spec{Team: "free", Need: model.Need{CPUs: 1, GPUs: 1}}},
 		{"an unknown type", "fits no", model.Spec{Team: "free", Types: []string{"huge"}, Need: model.Need{CPUs: 1}}},
 		{"an unknown zone", "fits no", model.Spec{Team: "free", Zone: "z", Need: model.Need{CPUs: 1}}},
 		{"an unknown team", "unknown team", model.Spec{Team: "nobody", Need: model.Need{CPUs: 1}}},
 		{"an array of which one task is within the limit", "", model.Spec{Team: "t", Need: model.Need{CPUs: 16}}},
-		{"a gang that is not", "limit", model.Spec{Team: "t", Kind: model.Gang, Tasks: 3, Need: model.Need{CPUs: 16}}},
-		{"a service that is", "", model.Spec{Team: "t", Kind: model.Service, Tasks: 2, Need: model.Need{CPUs: 16}}},
+		{"a gang beyond the limit", "limit", model.Spec{Team: "t", Kind: model.Gang, Tasks: 3, Need: model.Need{CPUs: 16}}},
+		{"a service within the limit", "", model.Spec{Team: "t", Kind: model.Service, Tasks: 2, Need: model.Need{CPUs: 16}}},
 	} {
 		c.s.Tasks = max(c.s.Tasks, 100)
 		if c.s.Kind != model.Array {
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer has the refusals that all slices give users alike.
+// Package answer has the refusals that all packages with user requests share.
 package answer
 
 import (
@@ -9,12 +9,12 @@
 	"brooklb/internal/wire"
 )
 
-// Refuse answers with a status, when to come back in seconds (0: not at all), and a
-// line that says why.
-func Refuse(status, after int, format string, args ...any) httpx.Response {
-	return httpx.Response{Status: status, RetryAfter: after, Body: wire.Error(fmt.Sprintf(format, args...))}
+// Refuse returns a response with a status, a time in seconds after which to retry (0: none is
+// given) and a reason.
+func Refuse(status, retryAfter int, format string, args ...any) httpx.Response {
+	return httpx.Response{Status: status, RetryAfter: retryAfter, Body: wire.Error(fmt.Sprintf(format, args...))}
 }
 
-// Unavailable is the answer while the state service can't be asked. Nodes that know
-// of one that can pass such requests on.
+// Unavailable is the response while the state service can't be reached. A node forwards
+// requests that get it to a node that can reach the service, if it knows one.
 var Unavailable = Refuse(http.StatusServiceUnavailable, 1, "the state service can't be asked, come back")
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -233,7 +233,7 @@
 func (f *Forwarder) order(o Order) {
 	gen := f.gen
 	// Where reports are spread sockets are short: none is kept for a worker's next order.
-	f.env.Call(actor.Call{Addr: o.Addr, Method: "POST", Path: o.Path, Body: o.Body, Timeout: orderTimeout, Once: true, Done: func(a actor.Answer) {
+	f.env.Call(actor.Call{Addr: o.Addr, Method: "POST", Path: o.Path, Body: o.Body, Timeout: orderTimeout, DisableKeepAlive: true, Done: func(a actor.Answer) {
 		if f.gen != gen {
 			return // the leader has given it up
 		}
--- a/internal/httpx/dial.go
+++ b/internal/httpx/dial.go
@@ -44,11 +44,11 @@
 	p := l.pools[call.Addr]
 	if p == nil {
 		p = &pool{addr: call.Addr}
-		if !call.Once {
+		if !call.DisableKeepAlive {
 			l.pools[call.Addr] = p
 		}
 	}
-	for len(p.idle) > 0 && !call.Once {
+	for len(p.idle) > 0 && !call.DisableKeepAlive {
 		d := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
 		if d.gone {
@@ -204,7 +204,7 @@
 	// The answer is copied: the continuation may send on this connection.
 	body = append([]byte(nil), body...)
 	_, _ = c.Discard(n)
-	if closing || d.call.Once {
+	if closing || d.call.DisableKeepAlive {
 		d.gone = true
 	} else {
 		call := d.call
--- a/internal/httpx/once_test.go
+++ b/internal/httpx/once_test.go
@@ -66,7 +66,7 @@
 	}
 	s.Start()
 	defer s.Close()
-	a := once(t, 3, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", Once: true, Timeout: time.Second})
+	a := once(t, 3, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
 	if a.Err != nil || a.Status != 204 {
 		t.Errorf("%+v", a)
 	}
@@ -86,7 +86,7 @@
 	if new != 3 {
 		t.Errorf("%d connections for 3 calls", new)
 	}
-	a = once(t, 1, actor.Call{Addr: "127.0.0.1:1", Method: "GET", Path: "/", Once: true, Timeout: time.Second})
+	a = once(t, 1, actor.Call{Addr: "127.0.0.1:1", Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
 	if !a.Unsent() || !errors.Is(a.Err, actor.ErrRefused) {
 		t.Errorf("a closed port: %v", a.Err)
 	}
@@ -107,5 +107,5 @@
 	}
 	before := cpu()
 	defer func() { b.ReportMetric((cpu()-before)/float64(b.N), "cpu-us/call") }()
-	once(b, b.N, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", Once: true, Timeout: time.Second})
+	once(b, b.N, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
 }
--- a/internal/node/ends.go
+++ b/internal/node/ends.go
@@ -8,51 +8,52 @@
 	"brooklb/internal/peer"
 )
 
-// listen makes what a term hears of cancellations; nil if some controllers are no peers of
-// ours.
-func (n *Node) listen(token uint64) *cancellation.Listener {
-	if len(n.set.Peers)+1 < n.set.Facts.Nodes {
+// newCancellationListener returns a term's listener for cancellations, or nil if some
+// controllers are not peers of this one.
+func (n *Node) newCancellationListener(token uint64) *cancellation.Listener {
+	if len(n.settings.Peers)+1 < n.settings.Facts.Nodes {
 		return nil
 	}
-	return cancellation.NewListener(token, n.others())
+	return cancellation.NewListener(token, n.peerLabels())
 }
 
-// tellEnds puts into a status what it says about cancellations.
-func (n *Node) tellEnds(st *peer.Status) {
-	if t := n.term; t != nil && t.ends != nil {
-		st.Question = t.ends.Ask(n.env.Now(), n.store.Epoch())
+// fillCancellations sets the fields about cancellations in a status.
+func (n *Node) fillCancellations(st *peer.Status) {
+	if t := n.term; t != nil && t.cancellations != nil {
+		st.Question = t.cancellations.Ask(n.env.Now(), n.store.Epoch())
 	}
-	st.Answer = n.teller.Tell(n.elect.Token() != 0)
+	st.Answer = n.teller.Tell(n.election.Token() != 0)
 }
 
-// heardEnds takes in what a peer says about cancellations.
-func (n *Node) heardEnds(s *peer.Status) {
+// onPeerCancellations processes what a peer's status says about cancellations.
+func (n *Node) onPeerCancellations(s *peer.Status) {
 	if s.Leading && s.Question != nil && s.Question.Token == s.Token {
 		n.teller.Asked(*s.Question)
 	}
-	if n.term == nil || n.term.ends == nil || s.Answer == nil || s.Answer.Token != n.term.token {
+	if n.term == nil || n.term.cancellations == nil || s.Answer == nil || s.Answer.Token != n.term.token {
 		return
 	}
 	for _, r := range s.Answer.Records {
 		id := strings.TrimPrefix(r.Key, ledger.JobPrefix)
 		if rec, err := ledger.DecodeRecord(id, r.Value); err != nil || rec.Final != ledger.Cancelled || ledger.JobKey(id) != r.Key {
-			n.env.Log().Error("bad record of a peer", "peer", s.Label, "key", r.Key, "err", err)
+			n.env.Log().Error("bad cancellation record from a peer", "peer", s.Label, "key", r.Key, "err", err)
 			return
 		}
 		n.store.Learn(r.Key, r.Value, r.Stamp)
 	}
 	if t := n.term; t != nil {
-		t.ends.Heard(s.Label, s.Answer)
+		t.cancellations.Heard(s.Label, s.Answer)
 	}
 }
 
-// mayAnswerWorkers reports whether workers may be answered: nobody can have been told for longer than
-// the hold of a cancellation that we don't know of. That is certain up to our last proof, or
-// up to what all other nodes have told us.
+// mayAnswerWorkers reports whether workers may be answered. They may if no user was told longer
+// ago than the hold of a cancellation that this node doesn't know of. That is certain up to the
+// last proof that this node leads, or up to the time for which all other nodes have confirmed
+// it.
 func (t *term) mayAnswerWorkers() bool {
-	now := t.n.env.Now()
-	if now-t.n.elect.Proven() <= t.n.hold {
+	now := t.node.env.Now()
+	if now-t.node.election.Proven() <= t.node.hold {
 		return true
 	}
-	return t.ends != nil && now-t.ends.Clear(now) <= t.n.hold
+	return t.cancellations != nil && now-t.cancellations.Clear(now) <= t.node.hold
 }
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -11,58 +11,61 @@
 	"brooklb/internal/wire"
 )
 
-// All controllers take workers' reports where one alone would run out of sockets or of
-// processor time (package forward). The leader decides by the size of the fleet and by what
-// the settings give a controller, and says so in its status.
+// All controllers take workers' reports where the leader alone would run out of sockets or of
+// processor time (package forward). The leader decides this by the size of the fleet and the
+// limits of a controller in the settings, and announces it in its status.
 
 const (
 	// A leader keeps a socket for each worker's reports and one for its orders.
 	socketsPerWorker = 2
-	// spreadSockets is the part of a controller's sockets beyond which reports are spread.
-	spreadSockets = 0.9
-	// A report takes a controller so long of a whole core, and all of them at most this
-	// part of its share.
-	reportCost  = 150 * time.Microsecond
-	spreadShare = 0.25
-	// Once spread, reports are taken by the leader alone again below this part of the size
-	// at which they were spread.
-	gatherPart = 0.6
-	// A new leader doesn't know all machines at once: it gathers no reports before.
+	// spreadSocketsFraction is the part of a controller's sockets above which reports are
+	// spread over all controllers.
+	spreadSocketsFraction = 0.9
+	// reportCost is the time of a whole core that a report takes a controller. All reports
+	// together may take at most spreadCPUFraction of its processor share.
+	reportCost        = 150 * time.Microsecond
+	spreadCPUFraction = 0.25
+	// The leader takes all reports alone again when the fleet has shrunk below this part of the
+	// size at which reports are spread.
+	gatherFraction = 0.6
+	// A new leader doesn't know all machines immediately, so it doesn't take all reports alone
+	// before this time.
 	gatherAfter = time.Minute
-	// A worker that reports to the leader itself counts so often: the leader has other
+	// A worker that reports to the leader counts as this many, because the leader has other
 	// work.
 	leaderWeight = 2
-	// A leader sends this part of its surplus of workers away each second, and so many at
-	// least.
-	movePart, leastMoves = 0.2, 5
-	// heardReports is how many reports' time a worker counts as reporting here.
-	heardReports = 3
+	// Each second, a leader redirects moveFraction of its surplus of workers, and at least
+	// minMovesPerSecond workers.
+	moveFraction, minMovesPerSecond = 0.2, 5
+	// reporterWindowReports is for how many report intervals after its last report a worker
+	// counts as reporting to this node.
+	reporterWindowReports = 3
 )
 
-func reportersFor(reportS float64) time.Duration { return seconds(heardReports * reportS) }
+func reporterWindow(reportS float64) time.Duration { return seconds(reporterWindowReports * reportS) }
 
 // reportRoute is what a node does with a report.
 type reportRoute uint8
 
 const (
-	answerHere reportRoute = iota // it leads
-	passOn                        // to the leader
-	redirect                      // to another node
+	answerHere      reportRoute = iota // this node leads
+	forwardToLeader                    // another node leads, and all nodes take reports
+	redirect                           // the worker has to report to another node
 )
 
-// routeReport decides what to do with a worker's report; to is the node to which the
-// worker is sent, "": it isn't known.
+// routeReport decides what to do with a worker's report. to is the node to which the worker is
+// redirected, "" if that isn't known.
 func (n *Node) routeReport(report []byte) (to string, route reportRoute) {
 	if !n.spread {
 		if n.term != nil {
 			return "", answerHere
 		}
-		n.noteSeeker(report)
+		n.noteSeekingWorker(report)
 		return n.leaderLabel(), redirect
 	}
 	host, zone, _ := wire.ReportHead(report)
 	if n.term != nil {
-		if to := n.term.moveAway(host, zone, len(report)); to != "" {
+		if to := n.term.moveTarget(host, zone, len(report)); to != "" {
 			n.reporters.Remove(host)
 			return to, redirect
 		}
@@ -73,18 +76,18 @@
 		return n.leaderLabel(), redirect
 	}
 	if own := n.reporters.Count(n.env.Now()); !n.reporters.Has(host) {
-		all := n.reportersOf()
-		if to := forward.Choose(all, zone); forward.Full(own, all) && to != "" && to != n.set.Label {
+		all := n.listReporters()
+		if to := forward.Choose(all, zone); forward.Full(own, all) && to != "" && to != n.settings.Label {
 			return to, redirect
 		}
 	}
 	n.reporters.Add(host, n.env.Now())
-	return "", passOn
+	return "", forwardToLeader
 }
 
-// reportersOf lists the controllers that take reports, this one first.
-func (n *Node) reportersOf() []forward.Reporter {
-	all := []forward.Reporter{reporter(n.set.Label, n.set.Location, n.reporters.Count(n.env.Now()), n.term != nil)}
+// listReporters lists the controllers that take reports, this one first.
+func (n *Node) listReporters() []forward.Reporter {
+	all := []forward.Reporter{reporter(n.settings.Label, n.settings.Location, n.reporters.Count(n.env.Now()), n.term != nil)}
 	n.peers.Lately(func(p settings.Peer, s *peer.Status) {
 		if s.Forward >= forward.Version {
 			all = append(all, reporter(p.Label, p.Location, int(s.Reporters), s.Leading))
@@ -100,7 +103,8 @@
 	return forward.Reporter{Label: label, Zone: zone, Workers: workers}
 }
 
-// leaderEndpoint is where reports are passed on to, "" if there is nobody.
+// leaderEndpoint is the address to which reports are forwarded, "" if this node leads or no
+// leader is known.
 func (n *Node) leaderEndpoint() string {
 	if n.term != nil {
 		return ""
@@ -108,14 +112,14 @@
 	return n.peers.Endpoint(n.leaderLabel())
 }
 
-// tellForwarding puts into a status what it says about reports.
-func (n *Node) tellForwarding(st *peer.Status) {
+// fillForwarding sets the fields about forwarded reports in a status.
+func (n *Node) fillForwarding(st *peer.Status) {
 	st.Forward, st.Reporters = forward.Version, uint64(n.reporters.Count(n.env.Now()))
 	st.Spread = n.term != nil && n.spread
 }
 
-// heardForwarding takes in what a peer says about reports.
-func (n *Node) heardForwarding(s *peer.Status) {
+// onPeerForwarding processes what a peer's status says about forwarded reports.
+func (n *Node) onPeerForwarding(s *peer.Status) {
 	if t := n.term; t != nil {
 		delete(t.moved, s.Label)
 		return
@@ -126,27 +130,28 @@
 	}
 }
 
-// refusedEvery is how often the log says that reports are not passed on.
-const refusedEvery = 15 * time.Second
+// notForwardedLogEvery is the least time between log messages about reports that could not be
+// forwarded.
+const notForwardedLogEvery = 15 * time.Second
 
-// notPassedOn hears of a report that could not be passed on to the leader.
-func (n *Node) notPassedOn(report []byte) {
-	n.noteSeeker(report)
-	n.notPassed++
-	if now := n.env.Now(); now-n.notPassedTold >= refusedEvery {
-		n.env.Log().Info("reports are not passed on", "leader", n.leaderLabel(), "refused", n.notPassed)
-		n.notPassed, n.notPassedTold = 0, now
+// onNotForwarded is called for each report that could not be forwarded to the leader.
+func (n *Node) onNotForwarded(report []byte) {
+	n.noteSeekingWorker(report)
+	n.notForwarded++
+	if now := n.env.Now(); now-n.notForwardedLoggedAt >= notForwardedLogEvery {
+		n.env.Log().Info("reports could not be forwarded to the leader", "leader", n.leaderLabel(), "refused", n.notForwarded)
+		n.notForwarded, n.notForwardedLoggedAt = 0, now
 	}
 }
 
-// serveForwarding answers what other controllers pass on, and what a leader has us send; it
-// returns false for other paths.
+// serveForwarding answers the reports that other controllers forward, and sends workers the
+// orders that a leader sends through this node. It returns false for other paths.
 func (n *Node) serveForwarding(r *httpx.Request, reply func(httpx.Response)) bool {
 	switch {
 	case r.Method != "POST":
 		return false
 	case r.Path == forward.ReportsPath:
-		n.passedOn(r.Body, reply)
+		n.serveForwardedReports(r.Body, reply)
 	case r.Path == forward.OrdersPath:
 		if err := n.forwarder.Orders(r.Body); err != nil {
 			n.badMessage(err, reply)
@@ -160,12 +165,12 @@
 }
 
 func (n *Node) badMessage(err error, reply func(httpx.Response)) {
-	n.env.Log().Error("bad message of a peer", "err", err)
+	n.env.Log().Error("bad message from a peer", "err", err)
 	reply(httpx.Response{Status: 400})
 }
 
-// passedOn answers a batch of reports of another controller.
-func (n *Node) passedOn(body []byte, reply func(httpx.Response)) {
+// serveForwardedReports answers a batch of reports from another controller.
+func (n *Node) serveForwardedReports(body []byte, reply func(httpx.Response)) {
 	batch, err := forward.DecodeBatch(body)
 	if err != nil {
 		n.badMessage(err, reply)
@@ -185,52 +190,53 @@
 	reply(httpx.Response{Status: 200, Type: forward.ContentType, Body: forward.EncodeAnswers(true, answers)})
 }
 
-// send sends a call to a worker by way of the controller it reports to, "": straight.
+// send sends a call to a worker through the controller via, or directly if via is empty or not
+// a peer.
 func (t *term) send(via string, c actor.Call) {
-	c.Once = t.n.spread // sockets are short then
-	if addr := t.n.peers.Endpoint(via); addr != "" {
+	c.DisableKeepAlive = t.node.spread // sockets are scarce then
+	if addr := t.node.peers.Endpoint(via); addr != "" {
 		t.sender.Send(addr, c)
 		return
 	}
-	t.n.env.Call(c)
+	t.node.env.Call(c)
 }
 
 // decideSpread decides whether all controllers take reports.
 func (t *term) decideSpread() {
-	size := float64(len(t.led.Sorted()))
-	if t.n.spread {
-		size /= gatherPart
+	size := float64(len(t.ledger.Sorted()))
+	if t.node.spread {
+		size /= gatherFraction
 	}
-	need := t.n.spreadNeeded(size)
-	if need == t.n.spread || !need && t.n.env.Now()-t.workers.Began() < gatherAfter {
+	need := t.node.spreadNeeded(size)
+	if need == t.node.spread || !need && t.node.env.Now()-t.workers.Began() < gatherAfter {
 		return
 	}
-	t.n.spread = need
-	t.n.env.Log().Info("workers' reports", "taken_by_all_controllers", need, "machines", len(t.led.Sorted()))
+	t.node.spread = need
+	t.node.env.Log().Info("workers' reports", "taken_by_all_controllers", need, "machines", len(t.ledger.Sorted()))
 }
 
-// spreadNeeded reports whether so many machines are more than one controller can serve.
+// spreadNeeded reports whether this number of machines is more than one controller can serve.
 func (n *Node) spreadNeeded(machines float64) bool {
-	f := &n.set.Facts
-	if len(n.set.Peers) == 0 {
+	f := &n.settings.Facts
+	if len(n.settings.Peers) == 0 {
 		return false
 	}
-	if f.Limits.Sockets > 0 && socketsPerWorker*machines > spreadSockets*float64(f.Limits.Sockets) {
+	if f.Limits.Sockets > 0 && socketsPerWorker*machines > spreadSocketsFraction*float64(f.Limits.Sockets) {
 		return true
 	}
 	cores := machines / f.Workers.ReportS * reportCost.Seconds()
-	return f.Limits.CPUShare > 0 && cores > spreadShare*f.Limits.CPUShare
+	return f.Limits.CPUShare > 0 && cores > spreadCPUFraction*f.Limits.CPUShare
 }
 
-// moveAway is the controller to which a worker of the leader's is sent, "" if it stays.
-// The surplus leaves over some seconds.
-func (t *term) moveAway(host, zone string, size int) string {
-	n := t.n
+// moveTarget is the controller to which the leader redirects a worker that reports to it, "" if
+// the worker stays. The surplus of workers is redirected over several seconds.
+func (t *term) moveTarget(host, zone string, size int) string {
+	n := t.node
 	if size > forward.MostReport {
 		return ""
 	}
 	now := n.env.Now()
-	all := n.reportersOf()
+	all := n.listReporters()
 	for i := range all {
 		all[i].Workers += t.moved[all[i].Label]
 	}
@@ -239,17 +245,17 @@
 		sum += r.Workers
 	}
 	surplus := float64(own) - float64(sum)/float64(len(all))
-	rate := max(leastMoves, movePart*surplus)
-	t.moving = min(rate, t.moving+rate*(now-t.movedAt).Seconds())
-	t.movedAt = now
-	if surplus < 1 || t.moving < 1 {
+	rate := max(minMovesPerSecond, moveFraction*surplus)
+	t.moveAllowance = min(rate, t.moveAllowance+rate*(now-t.moveAllowanceAt).Seconds())
+	t.moveAllowanceAt = now
+	if surplus < 1 || t.moveAllowance < 1 {
 		return ""
 	}
 	to := forward.Choose(all, zone)
 	if to == "" {
 		return ""
 	}
-	t.moving--
+	t.moveAllowance--
 	t.moved[to]++
 	return to
 }
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -11,67 +11,71 @@
 	"brooklb/internal/peer"
 )
 
-// gateVersion is the version of the parts' protocol.
+// gateVersion is the version of the protocol in which a leader hands out parts of the rate of
+// writes.
 const gateVersion = 1
 
 const (
-	// divideEvery is how often the leader divides anew what is taken in.
+	// divideEvery is how often the leader divides the admission of submissions between the
+	// nodes.
 	divideEvery = time.Second
-	// behindFor is how many seconds of the leader's changes may wait to be written
-	// until less is taken in and nothing more is planned.
-	behindFor = 1.0
-	// What is taken in falls by this factor a second, down to its least part, while the
-	// leader's writes are behind, and rises by this part.
+	// maxBehindS is how many seconds of the leader's writes may be pending. Above it, less is
+	// admitted and nothing more is planned.
+	maxBehindS = 1.0
+	// Each second, admission is multiplied by easeDown while the leader's writes are behind,
+	// and otherwise rises by easeUp of the full rate.
 	easeDown, easeUp = 0.75, 0.1
-	// Submissions take at most this part of all changes: each job asks for some more.
-	doorMost = 0.5
-	// Of a node's memory the tasks of unfinished jobs take at most this part, and each
-	// so many bytes, with its placement, its record here and at a takeover.
-	tasksMemory = 0.3
-	taskBytes   = 600
-	// mostShut bounds what a leader names as shut.
-	mostShut = 64
+	// Submissions take at most this part of all writes, because each job causes more writes
+	// later.
+	admittedFraction = 0.5
+	// The tasks of unfinished jobs may take tasksMemoryFraction of a node's memory. Each takes
+	// taskBytes for its placement, for its record in the replica and during a takeover.
+	tasksMemoryFraction = 0.3
+	taskBytes           = 600
+	// maxShut bounds how many pairs of team and class a leader lists as shut.
+	maxShut = 64
 )
 
-// others are the labels of the other nodes.
-func (n *Node) others() []string {
+// peerLabels returns the labels of the other nodes.
+func (n *Node) peerLabels() []string {
 	var out []string
-	for _, p := range n.set.Peers {
+	for _, p := range n.settings.Peers {
 		out = append(out, p.Label)
 	}
 	return out
 }
 
-// Share is how many changes a second this node may make now. In sum over all nodes
-// it never exceeds what the state service takes, however often the leader changes: a
-// leader spends what the others surely don't hold, and only while nobody else can lead.
+// Share is how many writes per second this node may make now. The sum over all nodes never
+// exceeds the state service's limit, however often the leader changes: a leader uses only what
+// the other nodes certainly don't hold, and only while no other node can lead.
 func (n *Node) Share() float64 {
 	all, others := n.store.Writes(), n.store.OthersWrites()
-	if others <= 0 || len(n.set.Peers) == 0 {
+	if others <= 0 || len(n.settings.Peers) == 0 {
 		return all
 	}
 	now := n.env.Now()
-	if t := n.term; t != nil && n.elect.Alone() {
+	if t := n.term; t != nil && n.election.SoleLeader() {
 		return all - t.issuer.Held(now)
 	}
-	if n.term == nil && n.elect.Alone() {
-		return all - others // elected, the picture isn't built yet
+	if n.term == nil && n.election.SoleLeader() {
+		return all - others // elected, but the state of the term isn't built yet
 	}
-	if n.oldLeader > 0 && now < n.oldLeader {
-		return others / float64(len(n.set.Peers)) // its program knows fixed shares only
+	if n.oldLeaderUntil > 0 && now < n.oldLeaderUntil {
+		return others / float64(len(n.settings.Peers)) // the leader's program has fixed shares only
 	}
 	part, _, _ := n.holder.Part(now)
-	return intake.Base(others, len(n.set.Peers)) + part
+	return intake.Base(others, len(n.settings.Peers)) + part
 }
 
-// oldLeads is for how long a leader whose program hands out nothing is believed to lead.
-const oldLeads = 3 * time.Second
+// oldLeaderFor is how long after its last status a leader whose program hands out no parts is
+// assumed to lead.
+const oldLeaderFor = 3 * time.Second
 
-// heard takes in what a peer says about parts.
-func (n *Node) heard(s *peer.Status) {
+// onPeerStatus processes a peer's status.
+func (n *Node) onPeerStatus(s *peer.Status) {
 	now := n.env.Now()
-	n.heardEnds(s)
-	n.heardForwarding(s)
+	n.onPeerCancellations(s)
+	n.onPeerForwarding(s)
 	if s.Gate >= 1 {
 		n.marks[s.Label] = s.Mark
 		if t := n.term; t != nil {
@@ -86,13 +90,13 @@
 		return
 	}
 	if s.Gate < 1 {
-		n.oldLeader = now + oldLeads
+		n.oldLeaderUntil = now + oldLeaderFor
 		return
 	}
-	n.oldLeader = 0
+	n.oldLeaderUntil = 0
 	n.holder.Lead(s.Token)
-	if part, ok := s.Parts[n.set.Label]; ok {
-		n.holder.Take(now, s.Token, s.Issue, s.Echo[n.set.Label], float64(part)/1000)
+	if part, ok := s.Parts[n.settings.Label]; ok {
+		n.holder.Take(now, s.Token, s.Issue, s.Echo[n.settings.Label], float64(part)/1000)
 	}
 	if n.term == nil {
 		n.shut(s.Shut)
@@ -109,13 +113,13 @@
 	}
 }
 
-// tellParts puts into a status what it says about parts.
-func (n *Node) tellParts(st *peer.Status) {
+// fillParts sets the fields about parts in a status.
+func (n *Node) fillParts(st *peer.Status) {
 	now := n.env.Now()
 	st.Gate, st.Mark, st.Want = gateVersion, n.holder.Mark(now), uint64(1000*n.gate.Want(now))
 	_, st.AppliedToken, st.Applied = n.holder.Part(now)
 	t := n.term
-	if t == nil || !n.elect.Alone() {
+	if t == nil || !n.election.SoleLeader() {
 		return
 	}
 	st.Echo, st.Shut = n.marks, t.shut
@@ -125,38 +129,38 @@
 	}
 }
 
-// divide hands out anew what all nodes may take in together: less while the leader's
-// own writes are behind, since every job that is taken in asks for three more.
+// divide hands out anew what all nodes together may admit. It is less while the leader's own
+// writes are behind, since every admitted job causes three more writes.
 func (t *term) divide() {
-	now := t.n.env.Now()
-	if now-t.divided < divideEvery || len(t.n.set.Peers) == 0 || !t.n.elect.Alone() {
+	now := t.node.env.Now()
+	if now-t.lastDivided < divideEvery || len(t.node.settings.Peers) == 0 || !t.node.election.SoleLeader() {
 		return
 	}
-	t.divided = now
-	if t.led.Behind(model.Low) > behindFor {
+	t.lastDivided = now
+	if t.ledger.Behind(model.Low) > maxBehindS {
 		t.ease *= easeDown
 	} else {
 		t.ease = min(1, t.ease+easeUp)
 	}
-	mine, parts, issue := t.issuer.Divide(now, t.ease*doorMost*t.n.store.Writes(), t.n.gate.Want(now))
-	t.n.store.SetDoor(mine)
+	mine, parts, issue := t.issuer.Divide(now, t.ease*admittedFraction*t.node.store.Writes(), t.node.gate.Want(now))
+	t.node.store.SetDoor(mine)
 	t.issue = issue
 	t.parts = map[string]uint64{}
 	for label, p := range parts {
 		t.parts[label] = uint64(1000 * p)
 	}
-	t.shut = t.crowded()
-	t.n.shut(t.shut)
+	t.shut = t.overfullClasses()
+	t.node.shut(t.shut)
 }
 
-// crowded are the classes that have more unfinished tasks than their part of what a
-// node's memory holds, if all together have more.
-func (t *term) crowded() (out [][2]string) {
-	room := t.n.set.Facts.Limits.MemMB * (1 << 20) * tasksMemory / taskBytes
+// overfullClasses lists the classes that have more unfinished tasks than their share of what a
+// node's memory holds, if all classes together exceed that memory.
+func (t *term) overfullClasses() (out [][2]string) {
+	room := t.node.settings.Facts.Limits.MemMB * (1 << 20) * tasksMemoryFraction / taskBytes
 	shares := map[fair.Key]*fair.Share{}
 	var list []*fair.Share
 	sum := 0.0
-	for _, j := range t.led.Order() {
+	for _, j := range t.ledger.Order() {
 		k := fair.Key{Team: j.Spec.Team, Class: j.Spec.Class}
 		if shares[k] == nil {
 			shares[k] = &fair.Share{Key: k}
@@ -168,10 +172,10 @@
 	if sum <= room {
 		return nil
 	}
-	fair.ByTeam(room, list, t.n.weight)
+	fair.ByTeam(room, list, t.node.weight)
 	slices.SortStableFunc(list, func(a, b *fair.Share) int { return cmp.Compare(b.Demand-b.Allocated, a.Demand-a.Allocated) })
 	for _, s := range list {
-		if s.Demand > s.Allocated && len(out) < mostShut {
+		if s.Demand > s.Allocated && len(out) < maxShut {
 			out = append(out, [2]string{s.Key.Team, s.Key.Class})
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,135 +29,145 @@
 
 // Node is one controller.
 type Node struct {
-	env   actor.Env
-	set   *settings.Settings
-	store *statestore.Store
-	elect *leader.Actor
-	adm   *admission.Actor
-	door  *rollout.Door
-	desk  *units.Door
-	opt   Options
-	peers *peer.Actor
-	warm  *images.Actor
-	term  *term
-	hold  time.Duration
-	// woke is when this process last went on after being paused: until then
-	// the state service's silence was our own.
-	woke time.Duration
-	// yields counts how often we gave way since we last heard the workers.
+	env        actor.Env
+	settings   *settings.Settings
+	store      *statestore.Store
+	election   *leader.Actor
+	admission  *admission.Actor
+	rolloutAPI *rollout.Door
+	unitsAPI   *units.Door
+	options    Options
+	peers      *peer.Actor
+	images     *images.Actor
+	term       *term
+	// hold is how long a leader may answer workers without a fresh proof that it leads.
+	hold time.Duration
+	// resumedAt is when this process last resumed after a pause. Until then, the silence of the
+	// state service was due to the pause.
+	resumedAt time.Duration
+	// yields counts how often this node has yielded leadership since it last heard most of the
+	// workers.
 	yields int
-	// view is the last overview that was asked for.
-	view   []byte
-	viewAt time.Duration
-	// The door for submissions, what this node holds of what all may take in, the last
-	// mark heard of each peer, and until when a leader of an older program is believed
-	// to lead.
-	gate      *intake.Gate
-	holder    *intake.Holder
-	marks     map[string]uint64
-	weight    func(team string) float64
-	floors    *placement.MinShares
-	oldLeader time.Duration
-	// seekers has the workers that came here looking for the leader.
-	seekers map[string]time.Duration
-	teller  *cancellation.Teller
-	// forwarder passes reports on while another leads; reporters are the workers that
-	// report to this node. spread is whether the newest leader has all nodes take reports,
-	// spreadToken which one that is.
+	// cachedOverview is the last encoded overview, from cachedOverviewAt.
+	cachedOverview   []byte
+	cachedOverviewAt time.Duration
+	// gate admits submissions. holder has this node's part of the cluster's rate of writes.
+	// marks has the last mark received from each peer, which a leader echoes. oldLeaderUntil is
+	// the time until which a leader whose program hands out no parts is assumed to lead.
+	gate           *intake.Gate
+	holder         *intake.Holder
+	marks          map[string]uint64
+	weight         func(team string) float64
+	floors         *placement.MinShares
+	oldLeaderUntil time.Duration
+	// seekingLeader has, by host, when a worker last reported here while looking for the
+	// leader.
+	seekingLeader map[string]time.Duration
+	teller        *cancellation.Teller
+	// forwarder forwards reports while another node leads. reporters are the workers that
+	// report to this node. spread says whether the newest known leader has all nodes take
+	// reports; spreadToken is that leader's token.
 	forwarder   *forward.Forwarder
 	reporters   *forward.Recent
 	spread      bool
 	spreadToken uint64
-	// notPassed counts the reports that were not passed on since the log said so.
-	notPassed     int
-	notPassedTold time.Duration
+	// notForwarded counts the reports that could not be forwarded since the log message of
+	// notForwardedLoggedAt.
+	notForwarded         int
+	notForwardedLoggedAt time.Duration
 }
 
-// term is everything that exists only while this node leads.
+// term is the state of one term of leadership; it exists only while this node leads.
 type term struct {
-	n *Node
-	// token is what workers, the cloud and peers know; the leader key's revision, to
-	// which a restored cluster's base is added.
-	token     uint64
-	base      leader.Base
-	led       *ledger.Ledger
-	workers   *workers.Actor
-	fleet     *fleet.Actor
-	rollouts  *rollout.Actor
-	units     *units.Actor
-	queues    *placement.UnitQueues
-	lastCount time.Duration
-	scheduled bool
-	closed    bool
-	lastPass  time.Duration
-	lastRent  time.Duration
-	lastView  time.Duration
-	lastMoves time.Duration
-	lastLook  time.Duration // for a reason to consolidate
-	// What of a takeover has been reported: first starts, workers back.
-	started, back  bool
-	told, settling bool
-	// When something to stop was last looked for, for jobs that wait: on
-	// machines with their image, and anywhere.
-	cleared, preempted map[*ledger.Job]time.Duration
-	left               []*ledger.Job
-	holds              map[*ledger.Machine]*placement.Hold
-	aims               *placement.Objectives
-	// What all nodes take in: how it is divided, by how much it is eased, what is shut.
-	issuer  *intake.Issuer
-	ends    *cancellation.Listener
-	issue   uint64
-	parts   map[string]uint64
-	divided time.Duration
-	ease    float64
-	shut    [][2]string
-	// floored are the jobs that were within a floor in the last pass.
+	node *Node
+	// token is the token that workers, the cloud and peers see: the revision of the leader key
+	// plus the base of a restored cluster.
+	token                  uint64
+	base                   leader.Base
+	ledger                 *ledger.Ledger
+	workers                *workers.Actor
+	fleet                  *fleet.Actor
+	rollouts               *rollout.Actor
+	units                  *units.Actor
+	queues                 *placement.UnitQueues
+	lastUnitsCount         time.Duration
+	passScheduled          bool
+	closed                 bool
+	lastPass               time.Duration
+	lastRent               time.Duration
+	lastOverviewLog        time.Duration
+	lastConsolidation      time.Duration
+	lastConsolidationCheck time.Duration // for a job that needs a machine emptied
+	// These fields say whether the first starts, the return of the workers and the wait after a
+	// restore have been logged, and whether the end of that wait is being recorded.
+	startsLogged, workersBackLogged bool
+	restoreWaitLogged, settling     bool
+	// When placements to preempt were last searched for a waiting job: on machines that have
+	// its image, and on all machines.
+	lastClearSearch, lastPreemptSearch map[*ledger.Job]time.Duration
+	unplaced                           []*ledger.Job
+	holds                              map[*ledger.Machine]*placement.Hold
+	aims                               *placement.Objectives
+	// The leader divides the admission of submissions between the nodes. issuer hands out the
+	// parts, and issue numbers the current ones. ease is the factor, at most 1, to which
+	// admission is reduced while the leader's writes are behind. shut lists the teams and
+	// classes of which nothing is admitted.
+	issuer        *intake.Issuer
+	cancellations *cancellation.Listener
+	issue         uint64
+	parts         map[string]uint64
+	lastDivided   time.Duration
+	ease          float64
+	shut          [][2]string
+	// floored has the jobs that were within the floor of their class and team when the floors
+	// were last evaluated.
 	floored    map[*ledger.Job]bool
 	lastFloors time.Duration
-	// Since when there is no fresh proof that this node leads, and how many reports were
-	// answered since.
-	unsure   time.Duration
-	unproven int
-	// sender gives orders by way of other controllers. moved counts, by controller, the
-	// workers that were sent there since its last status; movedAt and moving limit how
-	// many are.
-	sender  *forward.Sender
-	moved   map[string]int
-	moving  float64
-	movedAt time.Duration
-	// sentAway is since when workers were refused for want of a proof, 0: they are not.
-	sentAway time.Duration
+	// unprovenSince is since when there is no fresh proof that this node leads, 0 while there
+	// is one. unprovenReports counts the reports answered since then.
+	unprovenSince   time.Duration
+	unprovenReports int
+	// sender sends orders through other controllers. moved counts, by controller, the workers
+	// that were redirected there since its last status. moveAllowance, as of moveAllowanceAt,
+	// limits how many are redirected.
+	sender          *forward.Sender
+	moved           map[string]int
+	moveAllowance   float64
+	moveAllowanceAt time.Duration
+	// refusingSince is since when workers' reports are refused for lack of a proof that this
+	// node leads; 0 while they are answered.
+	refusingSince time.Duration
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Options are what an operator may turn on beyond the platform's settings.
+// Options are the features that an operator may turn on beyond the platform's settings.
 type Options struct {
-	// Rollouts lets users roll out services. A leader moves roll-outs on that are
-	// there in any case.
+	// Rollouts lets users roll out services. A leader continues existing roll-outs even without
+	// it.
 	Rollouts bool
-	// Units lets operators set counted resources; Declared are those of their file.
+	// Units lets operators set counted resources; Declared are those in the operator's file.
 	Units    bool
 	Declared []units.Declared
-	// Sharing is how teams and classes share what is short; nil: no floors, weights by
-	// guarantees.
+	// Sharing says how teams and classes share scarce resources. If it is nil, there are no
+	// floors, and weights follow the guarantees.
 	Sharing *settings.Sharing
 }
 
-// New makes a node; Start sets it going.
+// New returns a node that is not yet started.
 func New(env actor.Env, set *settings.Settings, opt Options) *Node {
 	f := &set.Facts
-	n := &Node{env: env, set: set, opt: opt, seekers: map[string]time.Duration{}, woke: -time.Hour, notPassedTold: -refusedEvery, marks: map[string]uint64{}}
-	// A leader that can't reach the state service may keep workers' leases
-	// alive for so long that a job cancelled through another node is still gone
-	// in time: the hold, then a lease, with a margin for drift and delays.
+	n := &Node{env: env, settings: set, options: opt, seekingLeader: map[string]time.Duration{}, resumedAt: -time.Hour, notForwardedLoggedAt: -notForwardedLogEvery, marks: map[string]uint64{}}
+	// A leader that can't reach the state service keeps renewing workers' leases for the hold.
+	// A job cancelled through another node must still be gone in time, after the hold and one
+	// more lease. The margin covers clock drift and delays.
 	n.hold = max(500*time.Millisecond, seconds(f.Workers.CancelS-f.Workers.LeaseS-4))
 	n.store = statestore.New(env, statestore.Config{Addr: set.External.State, RPS: f.State.RPS, WriteRPS: f.State.WriteRPS,
 		Nodes: f.Nodes, TxnOps: f.State.TxnOps, ValueBytes: int(f.State.ValueKB * 1024)})
 	n.store.Share = n.Share
-	n.warm = images.New(env, n.store)
+	n.images = images.New(env, n.store)
 	n.teller = cancellation.NewTeller(n.store)
-	n.adm = admission.New(env, n.store, f.Teams, f.Zones)
+	n.admission = admission.New(env, n.store, f.Teams, f.Zones)
 	n.holder = intake.NewHolder(env.Rand().Uint64())
 	n.weight = opt.Sharing.Weight(f.Teams)
 	if opt.Sharing != nil {
@@ -165,133 +175,134 @@
 	}
 	n.gate = intake.NewGate(env.Rand(), n.weight)
 	n.gate.Room, n.gate.Rate = n.store.DoorOpen, n.store.DoorRate
-	n.adm.Gate = n.gate
-	n.door = rollout.NewDoor(env, n.store, f.Teams)
-	n.door.Check = n.adm.Check
+	n.admission.Gate = n.gate
+	n.rolloutAPI = rollout.NewDoor(env, n.store, f.Teams)
+	n.rolloutAPI.Check = n.admission.Check
 	var teams []string
 	for _, t := range f.Teams {
 		teams = append(teams, t.Name)
 	}
-	n.desk = units.NewDoor(env, n.store, teams)
-	n.desk.Live = func(name string, holders bool) *wire.UnitsLive {
+	n.unitsAPI = units.NewDoor(env, n.store, teams)
+	n.unitsAPI.Live = func(name string, holders bool) *wire.UnitsLive {
 		if n.term == nil {
 			return nil
 		}
 		return n.term.unitsLive(name, holders)
 	}
-	n.adm.Units = func(s *model.Spec) (understood bool, err error) {
-		return n.peers.AllRead(ledger.UnitsFormat), n.desk.Check(s)
+	n.admission.CheckUnits = func(s *model.Spec) (understood bool, err error) {
+		return n.peers.AllRead(ledger.UnitsFormat), n.unitsAPI.Check(s)
 	}
 	n.peers = peer.New(env, set.Peers, n.status)
-	n.peers.OnLeader = n.newer
-	n.peers.OnStatus = n.heard
-	n.reporters = forward.NewRecent(reportersFor(f.Workers.ReportS))
+	n.peers.OnLeader = n.onPeerLeads
+	n.peers.OnStatus = n.onPeerStatus
+	n.reporters = forward.NewRecent(reporterWindow(f.Workers.ReportS))
 	n.forwarder = forward.NewForwarder(env, set.Label, n.leaderEndpoint)
-	n.forwarder.Refused = n.notPassedOn
-	n.door.Understood = func() bool { return n.peers.AllRead(ledger.ServiceFormat) }
-	n.door.Live = func(name string) (*wire.RolloutLive, string) {
+	n.forwarder.Refused = n.onNotForwarded
+	n.rolloutAPI.Understood = func() bool { return n.peers.AllRead(ledger.ServiceFormat) }
+	n.rolloutAPI.Live = func(name string) (*wire.RolloutLive, string) {
 		if n.term == nil {
 			return nil, ""
 		}
 		return n.term.rollouts.Live(name)
 	}
-	n.adm.Live = n.live
-	n.adm.Healthy = n.healthy
-	n.adm.Elsewhere = func(r *httpx.Request, done func(httpx.Response, bool)) bool {
+	n.admission.Live = n.liveJob
+	n.admission.Healthy = n.healthy
+	n.admission.Relay = func(r *httpx.Request, done func(httpx.Response, bool)) bool {
 		sent := n.env.Now()
 		return n.peers.Relay(r, func(resp httpx.Response, ok bool) {
-			done(resp, ok && sent >= n.woke) // true then; others may have told users more since
+			done(resp, ok && sent >= n.resumedAt) // an answer from before a pause may be outdated
 		})
 	}
 	n.peers.OnUser = func(r *httpx.Request, reply func(httpx.Response)) {
-		if !n.adm.Serve(r, true, reply) {
+		if !n.admission.Serve(r, true, reply) {
 			reply(httpx.Response{Status: 404, Body: wire.Error("no such path")})
 		}
 	}
 	n.store.Subscribe(func(key string, it *statestore.Item) {
 		if t := n.term; t != nil && len(key) > len(ledger.JobPrefix) && key[:len(ledger.JobPrefix)] == ledger.JobPrefix {
-			t.led.JobEvent(key, it)
+			t.ledger.JobEvent(key, it)
 		} else if t != nil && strings.HasPrefix(key, rollout.Prefix) {
 			t.rollouts.Event(key, it)
 		} else if t != nil && strings.HasPrefix(key, units.Prefix) {
 			t.units.Event(key, it)
 		}
 	})
-	n.elect = leader.New(env, n.store, set.Label, n.lead, n.lose)
-	n.elect.Reluctant = func() bool {
+	n.election = leader.New(env, n.store, set.Label, n.beginTerm, n.endTerm)
+	n.election.ShouldDefer = func() bool {
 		others, _ := n.peers.Workers()
-		return others >= fewWorkers && n.seeking() == 0
+		return others >= minWorkersToJudge && n.workersSeekingLeader() == 0
 	}
-	n.store.OnResync(func() { n.elect.Resign("changes of the state service were missed") })
+	n.store.OnResync(func() { n.election.Resign("changes of the state service were missed") })
 	return n
 }
 
-// Start begins to work.
+// Start starts the replica of the state service, the election and the exchange with peers.
 func (n *Node) Start() {
 	n.store.Start()
-	n.elect.Start()
+	n.election.Start()
 	n.peers.Start()
 }
 
-// Leading reports whether the node leads, and its token.
-func (n *Node) Leading() (uint64, bool) { return n.elect.Token(), n.term != nil }
+// Leading returns the election's token and reports whether the node leads.
+func (n *Node) Leading() (uint64, bool) { return n.election.Token(), n.term != nil }
 
-// Quiet is the longest time of this node's term in which starts or ends waited to be
-// written and nothing was.
+// Quiet is the longest time in this node's term in which starts or ends waited to be written
+// and none was written. It is 0 if the node does not lead.
 func (n *Node) Quiet() time.Duration {
 	if n.term == nil {
 		return 0
 	}
-	return n.term.led.Quiet
+	return n.term.ledger.Quiet
 }
 
 func (n *Node) status() peer.Status {
-	st := peer.Status{Label: n.set.Label, State: (n.env.Now() - n.store.Contact()).Milliseconds(), Leading: n.term != nil, Workers: n.seeking(), Reads: ledger.UnitsFormat}
+	st := peer.Status{Label: n.settings.Label, State: (n.env.Now() - n.store.Contact()).Milliseconds(), Leading: n.term != nil, Workers: n.workersSeekingLeader(), Reads: ledger.UnitsFormat}
 	if n.term != nil {
 		st.Token = n.term.token
 	}
-	n.tellParts(&st)
-	n.tellEnds(&st)
-	n.tellForwarding(&st)
+	n.fillParts(&st)
+	n.fillCancellations(&st)
+	n.fillForwarding(&st)
 	return st
 }
 
-// newer hears of a leader. One that the state service refuses alone learns only
-// so that another leads; it would answer the workers until its hold is over, and
-// the new leader would hear nobody and give way (tbilisi grown, apart).
-func (n *Node) newer(token uint64) {
+// onPeerLeads ends the term of this node if a peer leads with a higher token. A leader that
+// alone can't reach the state service learns only this way that another node leads. Otherwise
+// it would answer the workers until its hold is over, and the new leader would hear no workers
+// and yield.
+func (n *Node) onPeerLeads(token uint64) {
 	if t := n.term; t != nil && token > t.token {
-		n.elect.Deposed(t.token - t.base.Token)
+		n.election.Deposed(t.token - t.base.Token)
 	}
 }
 
 const (
-	// A node that the state service alone refuses sends its users elsewhere
-	// after this long.
-	aloneFor = 3 * time.Second
-	// A node that hears nothing of anybody does so after this long.
-	lostFor = 15 * time.Second
+	// A node that can't reach the state service, although a peer can, reports itself unhealthy
+	// after this time, so that its users go to other nodes.
+	stateCutAfter = 3 * time.Second
+	// A node that hears neither the state service nor any peer does so after this time.
+	isolatedAfter = 15 * time.Second
 )
 
-// healthy tells whether users are better off here than elsewhere. In an outage
-// of the state service they are no better off anywhere, and a node that called
-// itself unhealthy would only come back later than the service does.
+// healthy reports whether this node should take users' requests. In an outage of the state
+// service no other node can serve users better, and a node that reported itself unhealthy would
+// come back later than the service does.
 func (n *Node) healthy() bool {
 	if !n.store.Synced() {
 		return false
 	}
-	silent := n.env.Now() - max(n.store.Contact(), n.woke)
-	if silent >= aloneFor && n.peers.OthersReachState(aloneFor) {
+	silent := n.env.Now() - max(n.store.Contact(), n.resumedAt)
+	if silent >= stateCutAfter && n.peers.OthersReachState(stateCutAfter) {
 		return false
 	}
-	return silent < lostFor || !n.peers.OthersReachState(lostFor) && n.peers.Heard()
+	return silent < isolatedAfter || !n.peers.OthersReachState(isolatedAfter) && n.peers.Heard()
 }
 
-func (n *Node) live(id string) (done, running int, why string, ok bool) {
+func (n *Node) liveJob(id string) (done, running int, why string, ok bool) {
 	if n.term == nil {
 		return 0, 0, "", false
 	}
-	j := n.term.led.Jobs[id]
+	j := n.term.ledger.Jobs[id]
 	if j == nil {
 		return 0, 0, "", false
 	}
@@ -327,27 +338,27 @@
 			reply(httpx.Response{Status: 405, Body: wire.Error("GET only")})
 			return
 		}
-		// Counting takes time on a small machine: at most once a second.
-		if now := n.env.Now(); n.view == nil || now-n.viewAt >= time.Second {
-			n.view, n.viewAt = wire.Encode(n.Overview()), now
+		// Counting takes time on a small machine, so it is done at most once a second.
+		if now := n.env.Now(); n.cachedOverview == nil || now-n.cachedOverviewAt >= time.Second {
+			n.cachedOverview, n.cachedOverviewAt = wire.Encode(n.Overview()), now
 		}
-		reply(httpx.Response{Status: 200, Body: n.view})
+		reply(httpx.Response{Status: 200, Body: n.cachedOverview})
 		return
 	}
-	if n.adm.Serve(r, false, reply) || n.opt.Rollouts && n.door.Serve(r, reply) || n.opt.Units && n.desk.Serve(r, reply) {
+	if n.admission.Serve(r, false, reply) || n.options.Rollouts && n.rolloutAPI.Serve(r, reply) || n.options.Units && n.unitsAPI.Serve(r, reply) {
 		return
 	}
 	reply(httpx.Response{Status: 404, Body: wire.Error("no such path")})
 }
 
-// Paused hears that this process was paused while its clocks ran on, before it
-// does anything else. What it knows of others' silence is its own.
+// Paused is called when this process was paused while its clocks ran on, before anything else
+// runs. The silence of others during the pause proves nothing about them.
 func (n *Node) Paused(gap time.Duration) {
-	n.env.Log().Info("process paused", "for_s", tenth(gap.Seconds()), "leading", n.term != nil)
-	n.woke = n.env.Now()
+	n.env.Log().Info("process paused", "for_s", roundToTenth(gap.Seconds()), "leading", n.term != nil)
+	n.resumedAt = n.env.Now()
 	n.store.Paused()
-	n.elect.Paused()
-	n.adm.Paused()
+	n.election.Paused()
+	n.admission.Paused()
 	n.forwarder.Paused()
 	if t := n.term; t != nil {
 		t.workers.Paused(gap)
@@ -356,66 +367,68 @@
 	}
 }
 
-func (n *Node) lead(token uint64) {
-	f := &n.set.Facts
-	base, _ := leader.ReadBase(n.store) // else we would not have been elected
-	t := &term{n: n, token: token + base.Token, base: base, cleared: map[*ledger.Job]time.Duration{}, preempted: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastMoves: -consolidateEvery, aims: placement.NewObjectives(f.Objectives)}
-	t.issuer, t.ease = intake.NewIssuer(n.env.Now(), n.others(), n.store.OthersWrites()), 1
-	t.ends = n.listen(t.token)
-	t.led = ledger.New(n.env, n.store, token, f.Teams)
-	t.led.Attempts = base.Attempts
-	t.fleet = fleet.New(n.env, t.led, n.store, token, fleet.Config{Charter: t.token, Cloud: n.set.External.Cloud, RPS: f.Cloud.RPS, Share: f.Limits.CPUShare,
+func (n *Node) beginTerm(token uint64) {
+	f := &n.settings.Facts
+	base, _ := leader.ReadBase(n.store) // a node that can't read it does not stand for election
+	t := &term{node: n, token: token + base.Token, base: base, lastClearSearch: map[*ledger.Job]time.Duration{}, lastPreemptSearch: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastConsolidation: -consolidateEvery, aims: placement.NewObjectives(f.Objectives)}
+	t.issuer, t.ease = intake.NewIssuer(n.env.Now(), n.peerLabels(), n.store.OthersWrites()), 1
+	t.cancellations = n.newCancellationListener(t.token)
+	t.ledger = ledger.New(n.env, n.store, token, f.Teams)
+	t.ledger.Attempts = base.Attempts
+	t.fleet = fleet.New(n.env, t.ledger, n.store, token, fleet.Config{Charter: t.token, Cloud: n.settings.External.Cloud, RPS: f.Cloud.RPS, Share: f.Limits.CPUShare,
 		ListLag: seconds(f.Cloud.ListLagS), Report: seconds(f.Workers.ReportS), IdleKeep: 15 * time.Second, Patience: 45 * time.Second, Headroom: 0.5})
-	warm := n.warm.Snapshot()
-	t.led.Warm = func(m *ledger.Machine) {
+	warm := n.images.Snapshot()
+	t.ledger.Warm = func(m *ledger.Machine) {
 		for image, x := range warm[m.Name] {
 			m.Images[image], m.ImageGB[image] = x.At, x.GB
 		}
 	}
-	t.units = units.NewActor(n.env, n.store, token, t.led.Units, n.opt.Declared)
+	t.units = units.NewActor(n.env, n.store, token, t.ledger.Units, n.options.Declared)
 	t.queues = placement.NewUnitQueues()
-	t.lastCount = n.env.Now()
+	t.lastUnitsCount = n.env.Now()
 	t.units.Load()
-	t.led.Load()
-	t.rollouts = rollout.New(n.env, t.led, n.store, token, rollout.Config{Share: f.Limits.CPUShare, Report: seconds(f.Workers.ReportS)})
-	t.rollouts.OnDeposed = func() { n.elect.Deposed(token) }
-	t.units.OnDeposed, t.units.OnChange = t.rollouts.OnDeposed, t.wake
-	t.workers = workers.New(n.env, t.led, t.token, workers.Config{Lease: seconds(f.Workers.LeaseS), Hold: n.hold, Report: seconds(f.Workers.ReportS)})
+	t.ledger.Load()
+	t.rollouts = rollout.New(n.env, t.ledger, n.store, token, rollout.Config{Share: f.Limits.CPUShare, Report: seconds(f.Workers.ReportS)})
+	t.rollouts.OnDeposed = func() { n.election.Deposed(token) }
+	t.units.OnDeposed, t.units.OnChange = t.rollouts.OnDeposed, t.schedulePass
+	t.workers = workers.New(n.env, t.ledger, t.token, workers.Config{Lease: seconds(f.Workers.LeaseS), Hold: n.hold, Report: seconds(f.Workers.ReportS)})
 	t.rollouts.Load()
 	t.workers.OnEnded = t.rollouts.Ended
-	// Without a fresh proof that we lead, a job may have been cancelled whose start is
-	// recorded: nothing is started then, in no answer either.
-	t.workers.Quiet = func() bool { return !t.base.Settled || !n.elect.HasProof() }
-	t.workers.Proven = n.elect.Proven
-	t.workers.OnNewer = func() { n.elect.Deposed(token) }
-	t.workers.OnStuck = func() { n.elect.Resign("a start that was called off may still arrive, a new token makes it void") }
-	t.workers.OnTrust = func(*ledger.Machine) { t.wake() }
-	t.led.OnDeposed = func() { n.elect.Deposed(token) }
-	t.led.OnChange = t.wake
-	started := t.led.OnDurable
-	t.led.OnDurable = func(ps []*ledger.Placement) {
-		if !t.started {
-			t.started = true
-			n.env.Log().Info("first starts of this term", "after_s", tenth((n.env.Now() - t.workers.Began()).Seconds()))
+	// Without a fresh proof that this node leads, a job whose start is recorded may have been
+	// cancelled. Then nothing is started, not even in answers to reports.
+	t.workers.Quiet = func() bool { return !t.base.Settled || !n.election.HasProof() }
+	t.workers.Proven = n.election.Proven
+	t.workers.OnNewer = func() { n.election.Deposed(token) }
+	t.workers.OnStuck = func() {
+		n.election.Resign("a revoked start may still reach its worker; only a higher token makes it void")
+	}
+	t.workers.OnTrust = func(*ledger.Machine) { t.schedulePass() }
+	t.ledger.OnDeposed = func() { n.election.Deposed(token) }
+	t.ledger.OnChange = t.schedulePass
+	onDurable := t.ledger.OnDurable
+	t.ledger.OnDurable = func(ps []*ledger.Placement) {
+		if !t.startsLogged {
+			t.startsLogged = true
+			n.env.Log().Info("first starts of this term", "after_s", roundToTenth((n.env.Now() - t.workers.Began()).Seconds()))
 		}
-		started(ps)
+		onDurable(ps)
 	}
-	t.fleet.OnChange = t.wake
+	t.fleet.OnChange = t.schedulePass
 	t.sender, t.moved = forward.NewSender(n.env, t.token), map[string]int{}
 	t.workers.Send = t.send
 	n.term = t
-	n.env.Log().Info("leading", "token", t.token, "jobs", len(t.led.Jobs))
+	n.env.Log().Info("leading", "token", t.token, "jobs", len(t.ledger.Jobs))
 	n.forwarder.Drain(n.answerReport)
 	t.tick()
 }
 
-func (n *Node) lose() {
+func (n *Node) endTerm() {
 	if t := n.term; t != nil {
 		t.closed = true
-		if t.unsure > 0 {
-			n.env.Log().Info("led without a fresh proof until now", "token", t.token, "for_s", tenth((n.env.Now() - t.unsure).Seconds()), "reports_answered", t.unproven)
+		if t.unprovenSince > 0 {
+			n.env.Log().Info("led without a fresh proof until now", "token", t.token, "for_s", roundToTenth((n.env.Now() - t.unprovenSince).Seconds()), "reports_answered", t.unprovenReports)
 		}
-		t.led.Close()
+		t.ledger.Close()
 		t.workers.Close()
 		t.rollouts.Close()
 		t.units.Close()
@@ -429,16 +442,17 @@
 	if t.closed {
 		return
 	}
-	t.n.env.After(250*time.Millisecond, t.tick)
-	if t.sentAway > 0 && t.mayAnswerWorkers() {
-		// That they were not heard was our doing: machines were returned for it, and the
-		// leader resigned, as soon as a long outage was over.
-		t.workers.Paused(t.n.env.Now() - t.sentAway)
-		t.sentAway = 0
-	}
-	if t.deaf() {
-		t.n.yields++
-		t.n.elect.Yield("most workers don't reach this node", min(2*time.Minute, yieldFor<<t.n.yields))
+	t.node.env.After(250*time.Millisecond, t.tick)
+	if t.refusingSince > 0 && t.mayAnswerWorkers() {
+		// The workers were silent because this node refused their reports. When that silence
+		// counted against them, machines were returned and the leader resigned as soon as a
+		// long outage was over.
+		t.workers.Paused(t.node.env.Now() - t.refusingSince)
+		t.refusingSince = 0
+	}
+	if t.workersUnreachable() {
+		t.node.yields++
+		t.node.election.Yield("most workers don't reach this node", min(2*time.Minute, yieldFor<<t.node.yields))
 		return
 	}
 	t.workers.Tick()
@@ -446,9 +460,9 @@
 	if t.closed {
 		return
 	}
-	if t.n.elect.HasProof() {
-		// The cloud doesn't know tokens: a leader that may be none any more
-		// must not return machines that another is using.
+	if t.node.election.HasProof() {
+		// The cloud does not check tokens: a node that may no longer lead must not return
+		// machines that another leader uses.
 		t.fleet.Tick()
 		t.rollouts.Tick()
 		t.units.Tick()
@@ -456,45 +470,45 @@
 	if t.closed {
 		return
 	}
-	t.proof()
-	t.n.store.Relaxed = t.led.Behind(model.Low) <= 0
+	t.logProof()
+	t.node.store.Relaxed = t.ledger.Behind(model.Low) <= 0
 	t.divide()
 	t.decideSpread()
 	t.countUnits()
-	t.led.Kick()
-	t.workersBack()
-	t.overview()
-	if t.n.env.Now()-t.lastPass > time.Second {
-		t.wake()
+	t.ledger.Kick()
+	t.logWorkersBack()
+	t.logOverview()
+	if t.node.env.Now()-t.lastPass > time.Second {
+		t.schedulePass()
 	}
 }
 
-// overviewEvery is how often the leader logs how the cluster stands.
+// overviewEvery is how often the leader logs the state of the cluster.
 const overviewEvery = 15 * time.Second
 
-// overview logs what the machines are doing: where money goes when it does not
-// go into work.
-func (t *term) overview() {
-	now := t.n.env.Now()
-	if now-t.lastView < overviewEvery {
+// logOverview logs what the machines are doing, which shows the paid machine time that runs no
+// tasks.
+func (t *term) logOverview() {
+	now := t.node.env.Now()
+	if now-t.lastOverviewLog < overviewEvery {
 		return
 	}
-	t.lastView = now
-	m, j := t.census()
-	t.n.env.Log().Info("overview", "machines", m.Total, "spot", m.Spot, "booting", m.Booting, "idle", m.Idle, "silent", m.Silent, "leaving", m.Leaving,
+	t.lastOverviewLog = now
+	m, j := t.countMachinesAndJobs()
+	t.node.env.Log().Info("overview", "machines", m.Total, "spot", m.Spot, "booting", m.Booting, "idle", m.Idle, "silent", m.Silent, "leaving", m.Leaving,
 		"running", m.Running, "fetching", m.Fetching, "waiting", m.Waiting, "saving", m.Saving, "room", m.Room,
 		"jobs", j.Open, "at_fault", j.AtFault, "waiting_jobs", j.Waiting, "waiting_tasks", j.WaitingTasks)
-	c := &t.led.Changes
-	t.n.env.Log().Info("written in this term", "for_s", tenth((now - t.workers.Began()).Seconds()), "starts", c.Starts, "tasks", c.Tasks, "ends", c.Ends,
+	c := &t.ledger.Changes
+	t.node.env.Log().Info("written in this term", "for_s", roundToTenth((now - t.workers.Began()).Seconds()), "starts", c.Starts, "tasks", c.Tasks, "ends", c.Ends,
 		"marks", c.Marks, "drops", c.Drops)
-	t.n.env.Log().Info("door", "ease", tenth(t.ease), "behind_s", tenth(t.led.Behind(model.Low)), "others_hold", tenth(t.issuer.Held(now)), "wanted", tenth(t.n.gate.Want(now)),
-		"admitted", tenth(t.n.gate.Admitted(now)), "refused", t.n.gate.Refused, "shut", len(t.shut), "longest_quiet_s", tenth(t.led.Quiet.Seconds()), "floored", len(t.floored))
-	if teams := t.teamsLine(); teams != "" {
-		t.n.env.Log().Info("teams", "use", teams)
+	t.node.env.Log().Info("door", "ease", roundToTenth(t.ease), "behind_s", roundToTenth(t.ledger.Behind(model.Low)), "others_hold", roundToTenth(t.issuer.Held(now)), "wanted", roundToTenth(t.node.gate.Want(now)),
+		"admitted", roundToTenth(t.node.gate.Admitted(now)), "refused", t.node.gate.Refused, "shut", len(t.shut), "longest_quiet_s", roundToTenth(t.ledger.Quiet.Seconds()), "floored", len(t.floored))
+	if teams := t.teamUsage(); teams != "" {
+		t.node.env.Log().Info("teams", "use", teams)
 	}
 }
 
-func part(n, whole model.Need) float64 {
+func fractionOf(n, whole model.Need) float64 {
 	if whole.GPUs > 0 {
 		return n.GPUs / whole.GPUs
 	}
@@ -504,4 +518,4 @@
 	return 0
 }
 
-func tenth(x float64) float64 { return math.Round(10*x) / 10 }
+func roundToTenth(x float64) float64 { return math.Round(10*x) / 10 }
--- a/internal/node/overview.go
+++ b/internal/node/overview.go
@@ -13,40 +13,40 @@
 	"brooklb/internal/wire"
 )
 
-// longestQueue bounds how many waiting jobs an overview lists; an answer must
-// stay small on machines that are.
-const longestQueue = 60
+// maxListed bounds how many waiting jobs, and how many classes, an overview lists. The answer
+// must stay small, since controllers run on small machines.
+const maxListed = 60
 
-// Overview tells how this node and, if it leads, the cluster stand.
+// Overview returns the state of this node and, if it leads, of the cluster.
 func (n *Node) Overview() wire.Overview {
 	now := n.env.Now()
-	o := wire.Overview{Node: n.set.Label, Leader: n.elect.Leader(), Healthy: n.healthy()}
+	o := wire.Overview{Node: n.settings.Label, Leader: n.election.Leader(), Healthy: n.healthy()}
 	if n.store.Synced() {
-		o.StateSilentS = tenth((now - n.store.Contact()).Seconds())
+		o.StateSilentS = roundToTenth((now - n.store.Contact()).Seconds())
 	}
-	o.Door = &wire.DoorView{Changes: tenth(n.Share()), Wanted: tenth(n.gate.Want(now)), Admitted: tenth(n.gate.Admitted(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
+	o.Door = &wire.DoorView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.gate.Want(now)), Admitted: roundToTenth(n.gate.Admitted(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
 	t := n.term
 	if t == nil {
 		return o
 	}
-	o.Door.Ease, o.Door.BehindS = tenth(t.ease), tenth(t.led.Behind(model.Low))
+	o.Door.Ease, o.Door.BehindS = roundToTenth(t.ease), roundToTenth(t.ledger.Behind(model.Low))
 	for _, k := range t.shut {
 		o.Door.Shut = append(o.Door.Shut, k[1]+" of "+k[0])
 	}
 	o.Classes = t.classes()
-	o.Leading, o.Token, o.LedS = true, t.token, tenth((now - t.workers.Began()).Seconds())
-	m, j := t.census()
+	o.Leading, o.Token, o.LedS = true, t.token, roundToTenth((now - t.workers.Began()).Seconds())
+	m, j := t.countMachinesAndJobs()
 	o.Machines, o.Jobs = &m, &j
-	for _, c := range n.set.Facts.Teams {
-		u := t.led.Teams[c.Name].Used
+	for _, c := range n.settings.Facts.Teams {
+		u := t.ledger.Teams[c.Name].Used
 		o.Teams = append(o.Teams, wire.TeamView{Name: c.Name, CPUs: u.CPUs, GPUs: u.GPUs, GuaranteedCPUs: c.CPUs, GuaranteedGPUs: c.GPUs,
 			MostCPUs: c.CPUsMax, MostGPUs: c.GPUsMax})
 	}
-	for _, j := range t.led.Order() {
+	for _, j := range t.ledger.Order() {
 		if !placement.Waiting(j) {
 			continue
 		}
-		if len(o.Queue) == longestQueue {
+		if len(o.Queue) == maxListed {
 			break
 		}
 		why := j.Fault()
@@ -54,7 +54,7 @@
 			why = j.Waits
 		}
 		o.Queue = append(o.Queue, wire.JobView{Job: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), Done: j.NDone,
-			Placed: j.Placed, AgeS: tenth((now - j.Since).Seconds()), Why: why, Last: j.Why})
+			Placed: j.Placed, AgeS: roundToTenth((now - j.Since).Seconds()), Why: why, Last: j.Why})
 	}
 	return o
 }
@@ -63,7 +63,7 @@
 func (t *term) classes() []wire.ClassView {
 	at := map[fair.Key]int{}
 	var out []wire.ClassView
-	for _, j := range t.led.Order() {
+	for _, j := range t.ledger.Order() {
 		k := fair.Key{Team: j.Spec.Team, Class: j.Spec.Class}
 		i, ok := at[k]
 		if !ok {
@@ -80,23 +80,23 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b wire.ClassView) int { return cmp.Compare(b.Waiting+b.Placed, a.Waiting+a.Placed) })
-	return out[:min(len(out), longestQueue)]
+	return out[:min(len(out), maxListed)]
 }
 
-// mostTeams bounds how many teams the log names.
-const mostTeams = 8
+// maxLoggedTeams bounds how many teams the log names.
+const maxLoggedTeams = 8
 
-// teamsLine is what the teams nearest to their limits use, for the log: a team that is
-// at its limit waits for itself, and no machine helps it.
-func (t *term) teamsLine() string {
+// teamUsage says for the log what the teams nearest to their limits use. The jobs of a team at
+// its limit wait for the team's other jobs, and more machines don't help them.
+func (t *term) teamUsage() string {
 	type use struct {
 		name       string
 		used, most float64
 		unit       string
 	}
 	var us []use
-	for _, c := range t.n.set.Facts.Teams {
-		u := t.led.Teams[c.Name].Used
+	for _, c := range t.node.settings.Facts.Teams {
+		u := t.ledger.Teams[c.Name].Used
 		if c.CPUsMax > 0 {
 			us = append(us, use{c.Name, u.CPUs, c.CPUsMax, "cpus"})
 		}
@@ -106,7 +106,7 @@
 	}
 	slices.SortStableFunc(us, func(a, b use) int { return cmp.Compare(b.used/b.most, a.used/a.most) })
 	var sb strings.Builder
-	for _, u := range us[:min(len(us), mostTeams)] {
+	for _, u := range us[:min(len(us), maxLoggedTeams)] {
 		if sb.Len() > 0 {
 			sb.WriteString(", ")
 		}
@@ -115,12 +115,12 @@
 	return sb.String()
 }
 
-// census counts the machines, by what they are doing, and the jobs.
-func (t *term) census() (c wire.MachinesView, jobs wire.JobsView) {
-	now := t.n.env.Now()
-	silent := 3 * time.Duration(t.n.set.Facts.Workers.ReportS*float64(time.Second))
-	c.Total = len(t.led.Sorted())
-	for _, m := range t.led.Sorted() {
+// countMachinesAndJobs counts the machines, by what they are doing, and the jobs.
+func (t *term) countMachinesAndJobs() (c wire.MachinesView, jobs wire.JobsView) {
+	now := t.node.env.Now()
+	silent := 3 * time.Duration(t.node.settings.Facts.Workers.ReportS*float64(time.Second))
+	c.Total = len(t.ledger.Sorted())
+	for _, m := range t.ledger.Sorted() {
 		switch {
 		case m.Leaving:
 			c.Leaving++
@@ -137,10 +137,10 @@
 			c.Spot++
 		}
 		if len(m.P) > 0 {
-			c.Room += part(m.Free(), m.Cap)
+			c.Room += fractionOf(m.Free(), m.Cap)
 		}
 		for _, p := range m.P {
-			x := part(p.Job.Spec.Need, m.Cap)
+			x := fractionOf(p.Job.Spec.Need, m.Cap)
 			switch p.Phase {
 			case model.Running:
 				c.Running += x
@@ -154,15 +154,15 @@
 		}
 	}
 	for _, x := range []*float64{&c.Running, &c.Fetching, &c.Waiting, &c.Saving, &c.Room} {
-		*x = tenth(*x)
+		*x = roundToTenth(*x)
 	}
-	jobs.Open, jobs.Waiting = len(t.led.Order()), len(t.left)
-	for _, j := range t.led.Order() {
+	jobs.Open, jobs.Waiting = len(t.ledger.Order()), len(t.unplaced)
+	for _, j := range t.ledger.Order() {
 		if j.Faulty() {
 			jobs.AtFault++
 		}
 	}
-	for _, j := range t.left {
+	for _, j := range t.unplaced {
 		jobs.WaitingTasks += j.Idle()
 	}
 	return c, jobs
--- a/internal/node/units.go
+++ b/internal/node/units.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// countEvery is how often it is noted how resources stand.
+	// countEvery is how often the use of the resources is recorded.
 	countEvery = time.Second
-	// mostHolders bounds how many holders one answer lists.
-	mostHolders = 200
+	// maxHolders bounds how many holders one answer lists.
+	maxHolders = 200
 )
 
-// countUnits notes how the resources stand, and stops what exceeds a count where the
-// operator wants that.
+// countUnits records the use of the resources, and stops the tasks that exceed a resource's
+// count where the operator wants that.
 func (t *term) countUnits() {
-	now := t.n.env.Now()
-	span := now - t.lastCount
+	now := t.node.env.Now()
+	span := now - t.lastUnitsCount
 	if span < countEvery {
 		return
 	}
-	t.lastCount = now
-	for _, r := range t.led.Units.All {
+	t.lastUnitsCount = now
+	for _, r := range t.ledger.Units.All {
 		if r.Asked == 0 && r.Used == 0 {
 			continue
 		}
@@ -39,8 +39,8 @@
 	}
 }
 
-// shed stops what exceeds a count that was lowered: the lowest priority, then the
-// newest first.
+// shed stops the tasks that exceed a lowered count: those of the lowest priority first, and
+// among these the newest first.
 func (t *term) shed(r *units.Resource) {
 	over := r.Used - r.There()
 	var ps []*ledger.Placement
@@ -69,34 +69,35 @@
 			return
 		}
 		over -= r.Holders[p]
-		t.n.env.Log().Info("stopping what exceeds a resource's count", "resource", r.Name, "job", p.Job.Spec.ID, "task", p.Task, "machine", p.M.Name)
-		t.led.Stop(p, p.Grace(), "resource "+r.Name+" has fewer units now")
+		t.node.env.Log().Info("stopping a task that exceeds a resource's count", "resource", r.Name, "job", p.Job.Spec.ID, "task", p.Task, "machine", p.M.Name)
+		t.ledger.Stop(p, p.Grace(), "resource "+r.Name+" has fewer units now")
 	}
 }
 
-// unitsLive is what the leader sees of a resource.
+// unitsLive returns the leader's current view of a resource, with its holders if they are asked
+// for.
 func (t *term) unitsLive(name string, holders bool) *wire.UnitsLive {
-	r := t.led.Units.Get(name)
+	r := t.ledger.Units.Get(name)
 	if r == nil {
 		return &wire.UnitsLive{}
 	}
-	v := &wire.UnitsLive{Used: r.Used, Free: max(0, r.There()-r.Used), Jobs: r.Asked, Waiting: t.queues.Waiting(r), BusyS: tenth(r.BusyS), IdleS: tenth(r.IdleS),
-		WaitP50: tenth(r.WaitS(50)), WaitP99: tenth(r.WaitS(99))}
+	v := &wire.UnitsLive{Used: r.Used, Free: max(0, r.There()-r.Used), Jobs: r.Asked, Waiting: t.queues.Waiting(r), BusyS: roundToTenth(r.BusyS), IdleS: roundToTenth(r.IdleS),
+		WaitP50: roundToTenth(r.WaitS(50)), WaitP99: roundToTenth(r.WaitS(99))}
 	if !holders {
 		return v
 	}
-	now := t.n.env.Now()
+	now := t.node.env.Now()
 	for who, n := range r.Holders {
 		h := wire.HolderView{Units: n, Task: -1}
 		switch x := who.(type) {
 		case *ledger.Placement:
 			h.Job, h.Task, h.Attempt, h.Machine = x.Job.Spec.ID, x.Task, x.Attempt, x.M.Name
-			h.ForS, h.Until = tenth((now - x.Since).Seconds()), t.until(x)
+			h.ForS, h.Until = roundToTenth((now - x.Since).Seconds()), t.until(x)
 		case *ledger.Job:
 			h.Job, h.Until = x.Spec.ID, fmt.Sprintf("the last of its %d tasks that have a machine is gone", x.Placed)
 			for i := range x.Tasks {
 				if p := x.Tasks[i].P; p != nil {
-					h.ForS = max(h.ForS, tenth((now - p.Since).Seconds()))
+					h.ForS = max(h.ForS, roundToTenth((now - p.Since).Seconds()))
 				}
 			}
 		}
@@ -105,15 +106,15 @@
 	slices.SortFunc(v.Holders, func(a, b wire.HolderView) int {
 		return cmp.Or(cmp.Compare(b.ForS, a.ForS), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 	})
-	if n := len(v.Holders); n > mostHolders {
-		v.Holders, v.More = v.Holders[:mostHolders], n-mostHolders
+	if n := len(v.Holders); n > maxHolders {
+		v.Holders, v.More = v.Holders[:maxHolders], n-maxHolders
 	}
 	return v
 }
 
-// until says what has to happen for a placement's units to be free.
+// until says what must happen before a placement's units are free.
 func (t *term) until(p *ledger.Placement) string {
-	now, m := t.n.env.Now(), p.M
+	now, m := t.node.env.Now(), p.M
 	switch {
 	case !p.Durable:
 		return "its start is being written"
@@ -121,7 +122,7 @@
 		return "the cloud says that its machine is gone, or its end is reported"
 	case !m.Heard:
 		return fmt.Sprintf("its machine reports, or its lease has surely run out (in %.0f s)", max(0, (t.workers.DeadAt(m)-now).Seconds()))
-	case now-m.LastHeard > 3*seconds(t.n.set.Facts.Workers.ReportS):
+	case now-m.LastHeard > 3*seconds(t.node.settings.Facts.Workers.ReportS):
 		return fmt.Sprintf("its machine, silent for %.0f s, reports again, or its lease has surely run out (in %.0f s)", (now - m.LastHeard).Seconds(),
 			max(0, (t.workers.DeadAt(m)-now).Seconds()))
 	case p.Stopping:
--- a/internal/rollout/check_test.go
+++ b/internal/rollout/check_test.go
@@ -111,7 +111,7 @@
 		if x.healthy(ch) != c.healthy || x.sick() != c.sick {
 			t.Errorf("%s: healthy %v, sick %v", c.name, x.healthy(ch), x.sick())
 		}
-		if e.last.Addr != "10.1.0.1:8000" || e.last.Path != "/h/0" || !e.last.Once {
+		if e.last.Addr != "10.1.0.1:8000" || e.last.Path != "/h/0" || !e.last.DisableKeepAlive {
 			t.Errorf("asked %s%s", e.last.Addr, e.last.Path)
 		}
 		if x.sick() && x.proof() == "" {
--- a/internal/rollout/health.go
+++ b/internal/rollout/health.go
@@ -204,7 +204,7 @@
 	c.flying++
 	gen, sent := c.gen, c.env.Now()
 	heard := x.p.M.LastHeard
-	c.env.Call(actor.Call{Addr: addr, Method: "GET", Path: x.path(), Once: true, Timeout: time.Duration(x.spec.TimeoutS * float64(time.Second)),
+	c.env.Call(actor.Call{Addr: addr, Method: "GET", Path: x.path(), DisableKeepAlive: true, Timeout: time.Duration(x.spec.TimeoutS * float64(time.Second)),
 		Done: func(a actor.Answer) {
 			c.flying--
 			if !x.gone && gen == c.gen {
--- a/internal/units/leader.go
+++ b/internal/units/leader.go
@@ -215,7 +215,7 @@
 		return
 	}
 	p.asking, p.asked = true, now
-	a.env.Call(actor.Call{Addr: p.Probe.Addr, Method: "GET", Path: p.Probe.Path, Once: true, Timeout: probeTimeout, Done: func(ans actor.Answer) {
+	a.env.Call(actor.Call{Addr: p.Probe.Addr, Method: "GET", Path: p.Probe.Path, DisableKeepAlive: true, Timeout: probeTimeout, Done: func(ans actor.Answer) {
 		p.asking = false
 		var x struct {
 			Used *float64 `json:"used"`
