--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -164,7 +164,7 @@
 	fits := false
 	for i := range a.types {
 		t := &a.types[i]
-		if !s.AllowsType(t.Name) || !s.Need.Fits(t.Cap) {
+		if !s.AllowsType(t.Name) || !s.Resources.Fits(t.Cap) {
 			continue
 		}
 		if s.Zone == "" {
@@ -182,7 +182,7 @@
 		n = float64(s.Tasks)
 	}
 	t := ledger.Team{Team: team}
-	if !t.Within(s.Need.Times(n)) {
+	if !t.WithinLimit(s.Resources.Times(n)) {
 		return fmt.Errorf("the job needs more than the limit of team %q", s.Team)
 	}
 	if s.Spread && s.Tasks > 1 && s.Kind != model.Array && (s.OneZone || s.Zone != "") {
@@ -230,7 +230,7 @@
 		}
 	}
 	nonce := fmt.Sprintf("%x", a.env.Rand().Uint64())
-	rec := ledger.NewRecord(s, a.env.Wall().UnixMilli(), nonce, ledger.ChunkTasks(a.store.Config().ValueBytes))
+	rec := ledger.NewRecord(s, a.env.Wall().UnixMilli(), nonce, ledger.TasksPerChunk(a.store.Config().ValueBytes))
 	t := wire.Txn{When: []wire.Cond{{Path: key}}, Apply: []wire.Change{{Write: key, Value: rec.Encode()}}}
 	if len(t.Apply[0].Value) > a.store.Config().ValueBytes {
 		a.refuseUnlessRecorded(s.ID, answer.Refuse(400, 0, "the description is too long"), reply)
@@ -369,7 +369,7 @@
 	for n := range chunks {
 		key := ledger.ChunkKey(id, n)
 		if it, ok := a.store.Peek(key); ok {
-			d, r, w, err := ledger.CountChunk(key, it.Value)
+			d, r, w, err := ledger.CountChunkTasks(key, it.Value)
 			if err != nil {
 				a.env.Log().Error("chunk can't be read, left unchanged", "key", key, "err", err)
 				continue
--- a/internal/consolidate/consolidate.go
+++ b/internal/consolidate/consolidate.go
@@ -52,22 +52,24 @@
 		if j.Placed > 0 && j.Spec.Kind == model.Gang {
 			continue
 		}
-		if t := l.Teams[j.Spec.Team]; t == nil || !t.Within(j.Spec.Need) || l.UnitsFor(j) < 1 {
+		if t := l.Teams[j.Spec.Team]; t == nil || !t.WithinLimit(j.Spec.Resources) || l.TasksWithinUnits(j) < 1 {
 			continue
 		}
-		if slices.ContainsFunc(no, func(s *model.Spec) bool { return s.Need == j.Spec.Need && placement.SameConstraints(s, j.Spec) }) {
+		if slices.ContainsFunc(no, func(s *model.Spec) bool {
+			return s.Resources == j.Spec.Resources && placement.SameConstraints(s, j.Spec)
+		}) {
 			continue
 		}
-		var sum model.Need
+		var sum model.Resources
 		single := false
 		for _, m := range ms {
 			if !placement.Allowed(j, m) || (v.Holds[m] != nil && v.Holds[m].Job != j) {
 				continue
 			}
 			sum = sum.Add(m.Free())
-			single = single || j.Spec.Need.Fits(m.Free())
+			single = single || j.Spec.Resources.Fits(m.Free())
 		}
-		if !single && j.Spec.Need.Fits(sum) {
+		if !single && j.Spec.Resources.Fits(sum) {
 			return j
 		}
 		no = append(no, j.Spec)
@@ -82,7 +84,7 @@
 	cfg    Config
 	v      *placement.View
 	ms     []*ledger.Machine // of the group, the fullest first
-	free   []model.Need
+	free   []model.Resources
 	on     [][]*ledger.Placement
 	at     map[*ledger.Placement]int // of those that were moved
 	room   []int                     // machines that have, or had, room
@@ -137,16 +139,16 @@
 	})
 	for _, i := range order {
 		m := s.ms[i]
-		if notMovable[m] || len(m.P) == 0 || !placement.Allowed(j, m) || !j.Spec.Need.Fits(m.Cap) {
+		if notMovable[m] || len(m.Placements) == 0 || !placement.Allowed(j, m) || !j.Spec.Resources.Fits(m.Cap) {
 			continue
 		}
-		if len(m.P) > cfg.Moves {
+		if len(m.Placements) > cfg.Moves {
 			return nil // and so have all that follow
 		}
 		if s.steps <= 0 {
 			return nil
 		}
-		locked := slices.ContainsFunc(m.P, func(p *ledger.Placement) bool { return !Movable(p, v.Now, cfg) })
+		locked := slices.ContainsFunc(m.Placements, func(p *ledger.Placement) bool { return !Movable(p, v.Now, cfg) })
 		if !locked && s.empty(i) {
 			return s.plan(j, m)
 		}
@@ -175,12 +177,12 @@
 		x, y := a.Free(), b.Free() // the fullest first: big holes are kept whole
 		return cmp.Or(cmp.Compare(x.GPUs, y.GPUs), cmp.Compare(x.CPUs, y.CPUs), cmp.Compare(a.Name, b.Name))
 	})
-	s.free = make([]model.Need, len(s.ms))
+	s.free = make([]model.Resources, len(s.ms))
 	s.on = make([][]*ledger.Placement, len(s.ms))
 	s.inRoom = make([]bool, len(s.ms))
 	for i, m := range s.ms {
 		s.free[i] = m.Free()
-		s.on[i] = m.P
+		s.on[i] = m.Placements
 		s.hasRoom(i)
 	}
 	return s
@@ -213,7 +215,7 @@
 	s.out = i
 	tasks := slices.Clone(s.on[i])
 	slices.SortStableFunc(tasks, func(a, b *ledger.Placement) int {
-		x, y := a.Job.Spec.Need, b.Job.Spec.Need
+		x, y := a.Job.Spec.Resources, b.Job.Spec.Resources
 		return cmp.Or(cmp.Compare(y.GPUs, x.GPUs), cmp.Compare(y.CPUs, x.CPUs))
 	})
 	for _, p := range tasks {
@@ -230,7 +232,7 @@
 	if depth == 0 || len(s.moves) >= s.cfg.Moves || s.target[p] || s.steps <= 0 || !Movable(p, s.v.Now, s.cfg) {
 		return false
 	}
-	need := p.Job.Spec.Need
+	need := p.Job.Spec.Resources
 	best := -1
 	for _, i := range s.room {
 		s.steps--
@@ -255,7 +257,7 @@
 				return false
 			}
 			// Where a task alike and as large could go, this one could go itself.
-			if s.target[q] || !need.Fits(s.free[i].Add(q.Job.Spec.Need)) || need.Fits(q.Job.Spec.Need) && placement.SameConstraints(p.Job.Spec, q.Job.Spec) {
+			if s.target[q] || !need.Fits(s.free[i].Add(q.Job.Spec.Resources)) || need.Fits(q.Job.Spec.Resources) && placement.SameConstraints(p.Job.Spec, q.Job.Spec) {
 				continue
 			}
 			n := len(s.moves)
@@ -295,11 +297,11 @@
 	}
 	in := 0
 	for k := range j.Tasks {
-		q := j.Tasks[k].P
+		q := j.Tasks[k].CurrentPlacement
 		if q == nil || q == p {
 			continue
 		}
-		zone := q.M.Zone
+		zone := q.Host.Zone
 		if to, ok := s.at[q]; ok {
 			zone = s.ms[to].Zone
 		}
@@ -307,7 +309,7 @@
 			return false
 		}
 		// Until a moved task is gone it counts where it was, too.
-		if zone == m.Zone || q.M.Zone == m.Zone {
+		if zone == m.Zone || q.Host.Zone == m.Zone {
 			in++
 		}
 	}
@@ -322,7 +324,7 @@
 }
 
 func (s *state) shift(p *ledger.Placement, from, to int) {
-	n := p.Job.Spec.Need
+	n := p.Job.Spec.Resources
 	s.free[from] = s.free[from].Add(n)
 	s.free[to] = s.free[to].Sub(n)
 	// The lists begin as the machines' own: they are replaced, never changed.
--- a/internal/consolidate/consolidate_test.go
+++ b/internal/consolidate/consolidate_test.go
@@ -46,9 +46,9 @@
 			name = fmt.Sprintf("m%03d", i)
 		}
 		typ := fmt.Sprintf("g%v", g)
-		l.Types[typ] = &model.MachineType{Name: typ, Cap: model.Need{CPUs: 100, GPUs: g, MemGB: 100}}
+		l.Types[typ] = &model.MachineType{Name: typ, Cap: model.Resources{CPUs: 100, GPUs: g, MemGB: 100}}
 		m := l.Machine(name)
-		m.Heard, m.LastHeard = true, e.Now()
+		m.Reported, m.LastReport = true, e.Now()
 		l.Describe(m, typ, "z", false)
 	}
 	return w
@@ -56,12 +56,12 @@
 
 func (w *world) job(kind model.Kind, gpus float64) *ledger.Job {
 	w.n++
-	return w.jobOf(model.Spec{ID: fmt.Sprintf("j-%d", w.n), Team: "t", Kind: kind, Tasks: 1, Need: model.Need{GPUs: gpus}, CheckpointS: 5, SaveS: 1, Priority: model.Normal})
+	return w.jobOf(model.Spec{ID: fmt.Sprintf("j-%d", w.n), Team: "t", Kind: kind, Tasks: 1, Resources: model.Resources{GPUs: gpus}, CheckpointS: 5, SaveS: 1, Priority: model.Normal})
 }
 
 func (w *world) jobOf(s model.Spec) *ledger.Job {
 	rec := ledger.NewRecord(&s, 0, "", 48)
-	w.l.JobEvent(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(w.n)})
+	w.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(w.n)})
 	return w.l.Jobs[s.ID]
 }
 
@@ -72,7 +72,7 @@
 
 func (w *world) place(j *ledger.Job, task int, machine string) *ledger.Placement {
 	p := w.l.Plan(j, task, 1, w.l.Machines[machine])
-	p.Durable, p.Seen, p.Phase, p.RunSince = true, true, model.Running, w.v.Now-time.Second
+	p.Durable, p.SeenInReport, p.Phase, p.RunSince = true, true, model.Running, w.v.Now-time.Second
 	return p
 }
 
@@ -95,28 +95,28 @@
 	if len(p.Moves) > cfg.Moves {
 		w.t.Errorf("%d moves, at most %d are allowed", len(p.Moves), cfg.Moves)
 	}
-	free := map[*ledger.Machine]model.Need{}
+	free := map[*ledger.Machine]model.Resources{}
 	for _, m := range w.l.Machines {
 		free[m] = m.Free()
 	}
 	seen := map[*ledger.Placement]bool{}
 	for _, mv := range p.Moves {
-		if seen[mv.P] || mv.To == mv.P.M || mv.To == p.Empty {
-			w.t.Errorf("bad move of %s from %s to %s", mv.P.Job.Spec.ID, mv.P.M.Name, mv.To.Name)
+		if seen[mv.P] || mv.To == mv.P.Host || mv.To == p.Empty {
+			w.t.Errorf("bad move of %s from %s to %s", mv.P.Job.Spec.ID, mv.P.Host.Name, mv.To.Name)
 		}
 		seen[mv.P] = true
 		if !Movable(mv.P, w.v.Now, cfg) || !placement.Allowed(mv.P.Job, mv.To) {
 			w.t.Errorf("%s may not be moved to %s", mv.P.Job.Spec.ID, mv.To.Name)
 		}
-		free[mv.P.M] = free[mv.P.M].Add(mv.P.Job.Spec.Need)
-		free[mv.To] = free[mv.To].Sub(mv.P.Job.Spec.Need)
+		free[mv.P.Host] = free[mv.P.Host].Add(mv.P.Job.Spec.Resources)
+		free[mv.To] = free[mv.To].Sub(mv.P.Job.Spec.Resources)
 	}
 	for m, f := range free {
-		if !(model.Need{}).Fits(f) {
+		if !(model.Resources{}).Fits(f) {
 			w.t.Errorf("%s is over-full after the moves: %+v", m.Name, f)
 		}
 	}
-	if !p.Job.Spec.Need.Fits(free[p.Empty]) {
+	if !p.Job.Spec.Resources.Fits(free[p.Empty]) {
 		w.t.Errorf("%s doesn't take the job after the moves: %+v", p.Empty.Name, free[p.Empty])
 	}
 }
@@ -152,7 +152,7 @@
 	// Greedily, the task of machine a fits nowhere: b has 1 free, c has 1, and
 	// d, which is empty, is too small for it.
 	for _, m := range []string{"b", "c", "d"} {
-		if (model.Need{GPUs: 8}).Fits(w.l.Machines[m].Free()) {
+		if (model.Resources{GPUs: 8}).Fits(w.l.Machines[m].Free()) {
 			t.Fatalf("a greedy fit solves it on %s", m)
 		}
 	}
@@ -230,7 +230,7 @@
 func TestZoneRules(t *testing.T) {
 	w := newWorld(t, 4, 4, 4)
 	w.l.Machines["c"].Zone = "y"
-	s := model.Spec{ID: "j-77", Team: "t", Tasks: 2, OneZone: true, Need: model.Need{GPUs: 2}, CheckpointS: 5}
+	s := model.Spec{ID: "j-77", Team: "t", Tasks: 2, OneZone: true, Resources: model.Resources{GPUs: 2}, CheckpointS: 5}
 	w.n = 77
 	pair := w.jobOf(s)
 	w.place(pair, 0, "a")
@@ -266,7 +266,7 @@
 					w.run(m.Name, g)
 				}
 			}
-			if len(m.P) == 0 {
+			if len(m.Placements) == 0 {
 				w.run(m.Name, 1)
 			}
 		}
--- a/internal/fleet/boots.go
+++ b/internal/fleet/boots.go
@@ -68,7 +68,7 @@
 		return
 	}
 	b.lookAt = now
-	b.take(l.Sorted(), now)
+	b.take(l.MachinesByName(), now)
 }
 
 // gaveUp notes a machine that is returned before it came up: its place must not
@@ -88,16 +88,16 @@
 func (b *boots) take(ms []*ledger.Machine, now time.Duration) {
 	waiting := map[place][]time.Duration{}
 	for _, m := range ms {
-		if !m.Booting || !m.Known {
+		if !m.Booting || !m.TypeKnown {
 			continue
 		}
-		if m.Heard {
+		if m.Reported {
 			m.Booting = false
 		}
 		// The type as a whole, too: what ails one zone mostly ails all.
 		for _, p := range []place{{m.Type, m.Zone}, {m.Type, ""}} {
 			t := b.pool(p)
-			if m.Heard {
+			if m.Reported {
 				t.seen = append(t.seen, bootSeen{now, max(0, now-m.RentedAt)})
 				t.seen = slices.Delete(t.seen, 0, max(0, len(t.seen)-bootsKept))
 			} else {
--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -29,15 +29,15 @@
 		a := &Actor{led: l, boots: newBoots()}
 		var ms []*ledger.Machine
 		for range c.never {
-			ms = append(ms, &ledger.Machine{Type: "g", Zone: "z", Known: true, Booting: true})
+			ms = append(ms, &ledger.Machine{Type: "g", Zone: "z", TypeKnown: true, Booting: true})
 		}
 		from := len(ms)
 		for range 100 * len(c.come) {
-			ms = append(ms, &ledger.Machine{Type: "g", Zone: "z", Known: true, Booting: true})
+			ms = append(ms, &ledger.Machine{Type: "g", Zone: "z", TypeKnown: true, Booting: true})
 		}
 		for now := s; now <= c.at; now += s {
 			for i, m := range ms {
-				m.Heard = i >= from && now >= c.come[(i-from)/100]
+				m.Reported = i >= from && now >= c.come[(i-from)/100]
 			}
 			a.boots.take(ms, now)
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -105,8 +105,8 @@
 	for i := range ts {
 		a.led.Types[ts[i].Name] = &ts[i]
 	}
-	for _, m := range a.led.Sorted() {
-		if m.Type != "" && !m.Known {
+	for _, m := range a.led.MachinesByName() {
+		if m.Type != "" && !m.TypeKnown {
 			a.led.Describe(m, m.Type, m.Zone, m.Spot)
 		}
 	}
@@ -150,7 +150,7 @@
 	if a.behind {
 		// Nothing is planned while much waits to be written: that machines are idle then
 		// says nothing.
-		if a.behind = a.led.Behind(model.Low) > 0; a.behind {
+		if a.behind = a.led.WriteBacklogS(model.Low) > 0; a.behind {
 			a.resumed = now
 		}
 	}
--- a/internal/fleet/headroom.go
+++ b/internal/fleet/headroom.go
@@ -14,9 +14,9 @@
 		return
 	}
 	a.counted[j.Spec.ID] = true
-	a.inflow.add(j.Since, j.Spec.Priority, a.machines(j.Spec, j.Spec.Tasks)*j.EstimateS())
+	a.inflow.add(j.AcceptedAt, j.Spec.Priority, a.machines(j.Spec, j.Spec.Tasks)*j.EstimateS())
 	if prompt || within {
-		a.arrivals = append(a.arrivals, arrival{j.Since, a.machines(j.Spec, j.Spec.Tasks), prompt, j.Spec.Priority})
+		a.arrivals = append(a.arrivals, arrival{j.AcceptedAt, a.machines(j.Spec, j.Spec.Tasks), prompt, j.Spec.Priority})
 	}
 }
 
@@ -24,18 +24,18 @@
 func (a *Actor) machines(s *model.Spec, n int) float64 {
 	best := math.Inf(1)
 	for _, t := range a.led.Types {
-		if !s.AllowsType(t.Name) || !s.Need.Fits(t.Cap) {
+		if !s.AllowsType(t.Name) || !s.Resources.Fits(t.Cap) {
 			continue
 		}
 		f := 0.0
 		if t.Cap.CPUs > 0 {
-			f = max(f, s.Need.CPUs/t.Cap.CPUs)
+			f = max(f, s.Resources.CPUs/t.Cap.CPUs)
 		}
 		if t.Cap.GPUs > 0 {
-			f = max(f, s.Need.GPUs/t.Cap.GPUs)
+			f = max(f, s.Resources.GPUs/t.Cap.GPUs)
 		}
 		if t.Cap.MemGB > 0 {
-			f = max(f, s.Need.MemGB/t.Cap.MemGB)
+			f = max(f, s.Resources.MemGB/t.Cap.MemGB)
 		}
 		if f > 0.5 {
 			f = 1
@@ -94,12 +94,12 @@
 	prompt *= boot / span
 	other *= boot / span
 	if prompt > 0 {
-		for _, m := range a.led.Sorted() {
-			if len(m.P) == 0 || !m.Heard || m.Leaving {
+		for _, m := range a.led.MachinesByName() {
+			if len(m.Placements) == 0 || !m.Reported || m.Leaving {
 				continue
 			}
 			all := true
-			for _, p := range m.P {
+			for _, p := range m.Placements {
 				all = all && p.Job.Spec.Priority < prio && (p.Job.Spec.Kind != model.Gang || len(p.Job.Tasks) == 1)
 			}
 			if all {
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -69,26 +69,26 @@
 	page("")
 }
 
-func (a *Actor) listed(lm model.Listed) {
+func (a *Actor) listed(lm model.ListedMachine) {
 	a.seen[lm.Name] = true
 	if a.led.Returned[lm.Name] {
 		return // the list lags
 	}
 	m := a.led.Machine(lm.Name)
-	if m.Listed == "" && !m.Heard && m.Type == "" {
+	if m.ListedState == "" && !m.Reported && m.Type == "" {
 		m.RentedAt = a.env.Now() - time.Duration(lm.AgeS*float64(time.Second))
 	}
-	if !m.Heard {
+	if !m.Reported {
 		a.led.Describe(m, lm.Type, lm.Zone, lm.Spot)
 		if m.Addr == "" {
 			m.Addr = lm.Addr
 		}
 	}
-	if m.Listed != lm.State {
+	if m.ListedState != lm.State {
 		m.ListedAt = a.env.Now()
-		m.Listed = lm.State
+		m.ListedState = lm.State
 	}
-	m.Missing, m.ListedAddr = 0, lm.Addr
+	m.MissedListings, m.ListedAddr = 0, lm.Addr
 	if lm.State == "failed" {
 		a.Return(m, "failed")
 	}
@@ -110,20 +110,20 @@
 	for name := range a.seen {
 		newest = max(newest, name)
 	}
-	for _, m := range a.led.Sorted() {
+	for _, m := range a.led.MachinesByName() {
 		if a.seen[m.Name] {
 			continue
 		}
-		if m.Listed == "" && m.Name > newest && now-m.FirstSeen < max(unlistedFor, 4*a.cfg.ListLag) {
+		if m.ListedState == "" && m.Name > newest && now-m.FirstSeen < max(unlistedFor, 4*a.cfg.ListLag) {
 			continue
 		}
-		if m.Heard && now-m.LastHeard < 2*a.cfg.Report+2*time.Second {
+		if m.Reported && now-m.LastReport < 2*a.cfg.Report+2*time.Second {
 			continue
 		}
-		m.Missing++
-		if m.Missing >= 2 {
-			if m.Spot && m.Heard && !m.Notice && !m.Leaving {
-				a.led.SpotTaken++
+		m.MissedListings++
+		if m.MissedListings >= 2 {
+			if m.Spot && m.Reported && !m.InterruptionNotice && !m.Leaving {
+				a.led.SpotInterruptions++
 			}
 			a.Return(m, "not listed any more")
 		}
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -50,7 +50,7 @@
 	}
 	now := v.Now
 	byZone := map[string]int{}
-	use, units := map[string]model.Need{}, map[*units.Resource]int{}
+	use, units := map[string]model.Resources{}, map[*units.Resource]int{}
 	limit := a.mostLooked()
 	most := min(len(left), limit/max(1, len(v.Machines)))
 	wants := make([]int, most)
@@ -63,15 +63,15 @@
 	}
 	pr := placement.NewProjection(a.led, v, a.retaken(), a.queued(over))
 	ready, coming := 0, 0
-	for _, m := range a.led.Sorted() {
+	for _, m := range a.led.MachinesByName() {
 		byZone[m.Zone]++
-		if !m.Heard && !m.Leaving && m.Known && m.Listed != "failed" {
+		if !m.Reported && !m.Leaving && m.TypeKnown && m.ListedState != "failed" {
 			pr.Add(&placement.ProjectedMachine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap}, a.upAt(m))
 			coming++
 		}
 	}
 	for _, m := range v.Machines {
-		if len(m.P) == 0 && v.Holds[m] == nil {
+		if len(m.Placements) == 0 && v.Holds[m] == nil {
 			ready++
 		}
 	}
@@ -107,7 +107,7 @@
 		if looked += len(pr.Machines); total >= maxRent || looked > limit {
 			break
 		}
-		n := a.led.SomeUnits(j, wants[i], units)
+		n := a.led.AllotUnits(j, wants[i], units)
 		boot, fits := a.bootTime(j)
 		if j.Spec.Kind == model.Gang {
 			if n == 0 {
@@ -184,10 +184,10 @@
 }
 
 // wanted is how many tasks of the job want a machine and may have one.
-func (a *Actor) wanted(j *ledger.Job, use map[string]model.Need) int {
+func (a *Actor) wanted(j *ledger.Job, use map[string]model.Resources) int {
 	n := 0
 	for i := range j.Tasks {
-		if !j.Tasks[i].Done && !j.Tasks[i].Off && j.Tasks[i].P == nil && j.Tasks[i].NotBefore <= a.env.Now()+10*time.Second {
+		if !j.Tasks[i].Done && !j.Tasks[i].Unwanted && j.Tasks[i].CurrentPlacement == nil && j.Tasks[i].NotBefore <= a.env.Now()+10*time.Second {
 			n++
 		}
 	}
@@ -201,8 +201,8 @@
 	// Machines for tasks over the team's limit would stand idle.
 	for n > 0 {
 		t := *team
-		t.Used = t.Used.Add(use[j.Spec.Team]).Add(j.Spec.Need.Times(float64(n - 1)))
-		if t.Within(j.Spec.Need) {
+		t.Used = t.Used.Add(use[j.Spec.Team]).Add(j.Spec.Resources.Times(float64(n - 1)))
+		if t.WithinLimit(j.Spec.Resources) {
 			break
 		}
 		if j.Spec.Kind == model.Gang {
@@ -211,7 +211,7 @@
 		}
 		n--
 	}
-	use[j.Spec.Team] = use[j.Spec.Team].Add(j.Spec.Need.Times(float64(n)))
+	use[j.Spec.Team] = use[j.Spec.Team].Add(j.Spec.Resources.Times(float64(n)))
 	return n
 }
 
@@ -219,7 +219,7 @@
 func (a *Actor) bootTime(j *ledger.Job) (time.Duration, bool) {
 	best, ok := time.Duration(0), false
 	for _, t := range a.led.Types {
-		if !j.Spec.AllowsType(t.Name) || !j.Spec.Need.Fits(t.Cap) {
+		if !j.Spec.AllowsType(t.Name) || !j.Spec.Resources.Fits(t.Cap) {
 			continue
 		}
 		fetch := time.Duration(0)
@@ -287,7 +287,7 @@
 	sort.Strings(names)
 	for _, n := range names {
 		t := a.led.Types[n]
-		if j != nil && (!j.Spec.AllowsType(n) || !j.Spec.Need.Fits(t.Cap)) {
+		if j != nil && (!j.Spec.AllowsType(n) || !j.Spec.Resources.Fits(t.Cap)) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -358,8 +358,8 @@
 			for _, name := range names {
 				m := a.led.Machine(name)
 				m.RentedAt = now
-				m.Booting = !m.Heard
-				if !m.Heard {
+				m.Booting = !m.Reported
+				if !m.Reported {
 					a.led.Describe(m, p.typ, p.zone, p.spot)
 				}
 			}
--- a/internal/fleet/rent_test.go
+++ b/internal/fleet/rent_test.go
@@ -33,17 +33,17 @@
 		env := still{}
 		store := statestore.New(env, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 8, ValueBytes: 4096})
 		l := ledger.New(env, store, 1, []settings.Team{{Name: "free"}})
-		l.Types["g"] = &model.MachineType{Name: "g", Cap: model.Need{CPUs: 96, GPUs: 8, MemGB: 500}, Zones: []string{"x"}, BootS: 60}
+		l.Types["g"] = &model.MachineType{Name: "g", Cap: model.Resources{CPUs: 96, GPUs: 8, MemGB: 500}, Zones: []string{"x"}, BootS: 60}
 		for i := range 1000 {
 			m := l.Machine(fmt.Sprintf("m%04d", i))
-			m.Heard, m.LastHeard = true, env.Now()
+			m.Reported, m.LastReport = true, env.Now()
 			l.Describe(m, "g", "x", false)
 		}
 		v := &placement.View{Now: env.Now(), SilentAfter: time.Minute, Holds: map[*ledger.Machine]*placement.Hold{}, Objectives: placement.NewObjectives(nil)}
 		v.Machines = placement.Candidates(l, v)
 		full := func(id string, tasks int, gpus float64) {
-			s := &model.Spec{ID: id, Team: "free", Tasks: tasks, Need: model.Need{GPUs: gpus}, EstimateS: 1000}
-			l.JobEvent(ledger.JobKey(id), &statestore.Item{Value: ledger.NewRecord(s, 60000, "", 48).Encode(), Stamp: 1})
+			s := &model.Spec{ID: id, Team: "free", Tasks: tasks, Resources: model.Resources{GPUs: gpus}, EstimateS: 1000}
+			l.ApplyJobRecord(ledger.JobKey(id), &statestore.Item{Value: ledger.NewRecord(s, 60000, "", 48).Encode(), Stamp: 1})
 		}
 		full("j-0", 1000, 8)
 		placement.Run(l, v, l.Order(), func(*ledger.Job) {})
--- a/internal/fleet/return.go
+++ b/internal/fleet/return.go
@@ -14,7 +14,7 @@
 	if _, ok := a.want[m.Name]; ok {
 		return
 	}
-	a.env.Log().Info("returning machine", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.P))
+	a.env.Log().Info("returning machine", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.Placements))
 	m.Leaving = true
 	a.want[m.Name] = a.env.Now()
 }
@@ -61,43 +61,43 @@
 func (a *Actor) watchMachines() {
 	now := a.env.Now()
 	alive, total := map[string]int{}, map[string]int{}
-	for _, m := range a.led.Sorted() {
-		if m.Heard {
+	for _, m := range a.led.MachinesByName() {
+		if m.Reported {
 			total[m.Zone]++
-			if now-m.LastHeard < 2*a.cfg.Report {
+			if now-m.LastReport < 2*a.cfg.Report {
 				alive[m.Zone]++
 			}
 		}
 	}
-	for _, m := range a.led.Sorted() {
-		if m.Spot && m.Heard {
+	for _, m := range a.led.MachinesByName() {
+		if m.Spot && m.Reported {
 			a.led.SpotHours += 1.0 / 3600 // called once a second
 		}
 	}
 	fence := max(10*time.Second, 7*a.cfg.Report/2)
 	idle := 0
-	for _, m := range a.led.Sorted() {
+	for _, m := range a.led.MachinesByName() {
 		if m.Leaving {
-			if _, ok := a.want[m.Name]; !ok && len(m.P) == 0 {
+			if _, ok := a.want[m.Name]; !ok && len(m.Placements) == 0 {
 				a.Return(m, "set aside")
 			}
 			continue
 		}
 		switch {
-		case m.Heard:
-			silent := now - max(m.LastHeard, a.began+5*time.Second)
+		case m.Reported:
+			silent := now - max(m.LastReport, a.began+5*time.Second)
 			// A hung machine may resume; its tasks wait meanwhile. Returning it
 			// frees them for a start elsewhere. A whole silent zone is a cut,
 			// and its machines go on working.
-			if silent > fence && 2*alive[m.Zone] >= total[m.Zone] && alive[m.Zone] > 0 && (len(m.P) > 0 || silent > 2*fence) {
+			if silent > fence && 2*alive[m.Zone] >= total[m.Zone] && alive[m.Zone] > 0 && (len(m.Placements) > 0 || silent > 2*fence) {
 				a.Return(m, "silent")
 				continue
 			}
-			if len(m.P) == 0 {
+			if len(m.Placements) == 0 {
 				idle++
 			}
-		case m.Known && now-max(a.began, m.RentedAt) > a.patience(m) && now-a.resumed > a.cfg.IdleKeep:
-			if len(m.P) == 0 || alive[m.Zone] > 0 {
+		case m.TypeKnown && now-max(a.began, m.RentedAt) > a.patience(m) && now-a.resumed > a.cfg.IdleKeep:
+			if len(m.Placements) == 0 || alive[m.Zone] > 0 {
 				a.boots.gaveUp(m, now)
 				a.Return(m, "never came up")
 			}
@@ -107,7 +107,7 @@
 }
 
 func (a *Actor) patience(m *ledger.Machine) time.Duration {
-	if m.Listed == "running" {
+	if m.ListedState == "running" {
 		return 40 * time.Second
 	}
 	if t := a.led.Types[m.Type]; t != nil {
@@ -123,8 +123,8 @@
 func (a *Actor) returnIdle(idle int) {
 	now := a.env.Now()
 	var ms []*ledger.Machine
-	for _, m := range a.led.Sorted() {
-		if m.Heard && !m.Leaving && len(m.P) == 0 && now-max(m.IdleSince, m.WantedAt, a.began, a.resumed) > a.cfg.IdleKeep && !a.led.Unwritten(m) {
+	for _, m := range a.led.MachinesByName() {
+		if m.Reported && !m.Leaving && len(m.Placements) == 0 && now-max(m.IdleSince, m.WantedAt, a.began, a.resumed) > a.cfg.IdleKeep && !a.led.HasUnwrittenResults(m) {
 			ms = append(ms, m)
 		}
 	}
--- a/internal/images/images.go
+++ b/internal/images/images.go
@@ -121,7 +121,7 @@
 		}
 		return
 	}
-	tasks, err := ledger.ChunkMachines(key, it.Value)
+	tasks, err := ledger.DecodeChunkTasks(key, it.Value)
 	if err != nil {
 		return
 	}
--- a/internal/ledger/fault.go
+++ b/internal/ledger/fault.go
@@ -7,137 +7,142 @@
 	"brooklb/internal/model"
 )
 
-// faults is what was seen of a job's tasks that ended with an error. A machine
-// may be at fault, or the job itself: one that was submitted with a mistake
-// fails wherever it runs, until its user cancels it.
-type faults struct {
-	on     map[*Machine]bool // machines that tasks failed on since one was done
-	count  int               // in all
-	well   int               // tasks that ran elsewhere when the last one failed
-	trials int               // in vain since it was seen to be the job's fault
-	next   time.Duration     // the next trial
-	ran    time.Duration     // the longest that a task ran before it failed
+// failures counts the tasks of a job that ended with an error. The cause may be a faulty
+// machine or the job itself: a job that was submitted with a mistake fails on every machine
+// until its user cancels it.
+type failures struct {
+	machines         map[*Machine]bool // machines on which tasks failed since a task was last done
+	total            int               // all failures of the job
+	runningElsewhere int               // tasks that ran on other machines when the last one failed
+	pauses           int               // number of pauses so far, which sets the length of the next one
+	nextTrial        time.Duration     // time of the next trial
+	longestRun       time.Duration     // the longest that a task ran before it failed
 }
 
 const (
-	// A job is at fault when its tasks failed on so many machines, none done.
-	faultMachines = 2
-	// The pause between trials of a job at fault doubles from the one to the other. Faulty
-	// machines make healthy jobs look so, which must not wait for long once they are gone: the
-	// users bear 90 s beside a machine with room.
-	trialPause = 10 * time.Second
-	mostPause  = 45 * time.Second
-	// When a trial has found no room for so long, a machine may be rented for it.
-	rentAfter = 5 * time.Minute
-	// A trial that has run for so many times as long as any task that failed, and so much
-	// longer, is well: a service is never done, and a long task's job need not wait for its end.
-	wellTimes, wellAfter = 2, 5 * time.Second
+	// A job is at fault when its tasks failed on at least this many machines and none was done.
+	faultyJobMachines = 2
+	// The pause between trials of a job at fault doubles from minTrialPause to maxTrialPause.
+	// Faulty machines can make a healthy job look faulty. Such a job must not wait long once
+	// the machines are gone: users accept at most 90 s while a machine has room.
+	minTrialPause = 10 * time.Second
+	maxTrialPause = 45 * time.Second
+	// A machine may be rented for a trial that has found no room for this long.
+	rentForTrialAfter = 5 * time.Minute
+	// A trial is healthy when it has run longer than healthyRunFactor times the longest failed
+	// run, plus healthyRunMargin. A service's tasks are never done, and a job with long tasks
+	// should not wait for one to end.
+	healthyRunFactor, healthyRunMargin = 2, 5 * time.Second
 )
 
-// Faulty reports whether the job itself seems to be at fault. It is then tried
-// again with growing pauses and without an end, in case that circumstances mend
-// it, but has no claim on anything: nothing is rented, stopped or kept for it.
-// A job with a mistake fails everywhere: one of which more tasks run still than machines
-// failed is well, and landed on faulty machines. Wide arrays of short tasks do, on several
-// at once and before any task is done (connect, inc-9386: 36 jobs held up for nothing).
-func (j *Job) Faulty() bool { return len(j.faults.on) >= max(faultMachines, j.faults.well+1) }
+// Faulty reports whether the job itself seems to be at fault. Such a job is tried again
+// indefinitely with growing pauses, since the cause may disappear. No machine is rented or
+// reserved for it and no other task is stopped for it, except as MayRentForTrial allows.
+// A job with a mistake fails on every machine. If at least as many of its tasks run elsewhere
+// as there are machines with failures, the machines are at fault. A wide array of short tasks
+// may meet several faulty machines before any task is done: 36 healthy jobs were delayed that
+// way.
+func (j *Job) Faulty() bool {
+	return len(j.failures.machines) >= max(faultyJobMachines, j.failures.runningElsewhere+1)
+}
 
-// Trial reports whether a job at fault may be tried now: one task of an array,
-// the whole of a gang. A gang that lost a task during its trial gets another for it, or is
-// given up: the others waited for it in vain, twelve times 30 s.
-func (j *Job) Trial(now time.Duration) bool {
-	return now >= j.faults.next && j.Placed == 0 || j.Spec.Kind == model.Gang && j.Placed > 0
+// TrialDue reports whether a job at fault may be tried now, with one task of an array or all
+// tasks of a gang. It is also true for a gang during its trial, so that a lost task is replaced
+// or the gang is stopped. Otherwise the other tasks waited for the lost one twelve times 30 s.
+func (j *Job) TrialDue(now time.Duration) bool {
+	return now >= j.failures.nextTrial && j.Placed == 0 || j.Spec.Kind == model.Gang && j.Placed > 0
 }
 
-// Overdue reports whether a job at fault has found no room for a trial for so
-// long that a machine may be rented for it: there may be none left.
-func (j *Job) Overdue(now time.Duration) bool {
-	return j.Faulty() && j.Placed == 0 && now >= j.faults.next+rentAfter
+// MayRentForTrial reports whether a machine may be rented for a job at fault, because it has
+// found no room for a trial for rentForTrialAfter. There may be no machine left.
+func (j *Job) MayRentForTrial(now time.Duration) bool {
+	return j.Faulty() && j.Placed == 0 && now >= j.failures.nextTrial+rentForTrialAfter
 }
 
-// Failed notes that a task of the job ended with an error.
-func (l *Ledger) Failed(p *Placement) {
-	j, m := p.Job, p.M
-	f := &j.faults
+// MarkFailed records that a task ended with an error.
+func (l *Ledger) MarkFailed(p *Placement) {
+	j, m := p.Job, p.Host
+	f := &j.failures
 	if p.RunSince > 0 {
-		f.ran = max(f.ran, l.env.Now()-p.RunSince)
+		f.longestRun = max(f.longestRun, l.env.Now()-p.RunSince)
 	}
 	was := j.Faulty()
-	if f.on == nil {
-		f.on = map[*Machine]bool{}
+	if f.machines == nil {
+		f.machines = map[*Machine]bool{}
 	}
-	f.count++
-	f.on[m] = true
-	f.well = 0
+	f.total++
+	f.machines[m] = true
+	f.runningElsewhere = 0
 	for i := range j.Tasks {
-		if p := j.Tasks[i].P; p != nil && p.M != m && p.Phase == model.Running && !f.on[p.M] {
-			f.well++
+		if p := j.Tasks[i].CurrentPlacement; p != nil && p.Host != m && p.Phase == model.Running && !f.machines[p.Host] {
+			f.runningElsewhere++
 		}
 	}
 	if !j.Faulty() {
-		m.Blame(j)
+		m.AddFailedJob(j)
 		return
 	}
 	now := l.env.Now()
-	if !was || now >= f.next {
-		f.next = now + min(mostPause, trialPause<<min(f.trials, 10))
-		f.trials++
+	if !was || now >= f.nextTrial {
+		f.nextTrial = now + min(maxTrialPause, minTrialPause<<min(f.pauses, 10))
+		f.pauses++
 	}
 	if !was {
-		l.env.Log().Info("job fails on several machines, tried seldom from now on", "job", j.Spec.ID, "class", j.Spec.Class,
-			"team", j.Spec.Team, "failures", f.count, "machines", len(f.on))
+		l.env.Log().Info("job fails on several machines, retrying it with growing pauses", "job", j.Spec.ID, "class", j.Spec.Class,
+			"team", j.Spec.Team, "failures", f.total, "machines", len(f.machines))
 	}
-	// No machine is worse for it.
-	for m := range f.on {
-		m.forgive(j)
+	// The job is at fault, so its failures no longer count against the machines.
+	for m := range f.machines {
+		m.removeFailedJob(j)
 	}
 }
 
-// Runs hears that a task runs still: one that has run for much longer than those that failed
-// shows that its job is well.
-func (l *Ledger) Runs(p *Placement) {
-	if f := &p.Job.faults; p.Job.Faulty() && p.RunSince > 0 && l.env.Now()-p.RunSince > wellTimes*f.ran+wellAfter {
-		l.Worked(p.Job)
+// MarkRunning records that a task is still running. If it has run much longer than those that
+// failed, its job is healthy.
+func (l *Ledger) MarkRunning(p *Placement) {
+	if f := &p.Job.failures; p.Job.Faulty() && p.RunSince > 0 && l.env.Now()-p.RunSince > healthyRunFactor*f.longestRun+healthyRunMargin {
+		l.MarkHealthy(p.Job)
 	}
 }
 
-// Worked notes that a task of the job was done, or has run as long as one that
-// was submitted with a mistake would not.
-func (l *Ledger) Worked(j *Job) {
+// MarkHealthy records that a task of the job was done, or has run longer than a job with a
+// mistake would.
+func (l *Ledger) MarkHealthy(j *Job) {
 	if j.Faulty() {
-		l.env.Log().Info("job runs after all", "job", j.Spec.ID, "failures", j.faults.count)
+		l.env.Log().Info("job recovered after failing on several machines", "job", j.Spec.ID, "failures", j.failures.total)
 	}
-	j.faults = faults{count: j.faults.count}
+	j.failures = failures{total: j.failures.total}
 }
 
-// Fault tells a user why a job that fails everywhere is tried seldom; "" for others.
-func (j *Job) Fault() string {
+// FaultReason tells a user why a job at fault is retried with long pauses. It returns "" for
+// other jobs.
+func (j *Job) FaultReason() string {
 	if !j.Faulty() {
 		return ""
 	}
-	return fmt.Sprintf("it failed %d times, on %d machines: the job itself seems to be at fault, it is tried again with growing pauses", j.faults.count, len(j.faults.on))
+	return fmt.Sprintf("it failed %d times, on %d machines: the job itself seems to be at fault, it is tried again with growing pauses", j.failures.total, len(j.failures.machines))
 }
 
-// Blame notes a machine on which a task of the job failed.
-func (m *Machine) Blame(j *Job) {
-	if m.blamed == nil {
-		m.blamed = map[*Job]bool{}
+// AddFailedJob records that a task of the job failed on the machine.
+func (m *Machine) AddFailedJob(j *Job) {
+	if m.failedJobs == nil {
+		m.failedJobs = map[*Job]bool{}
 	}
-	m.blamed[j] = true
+	m.failedJobs[j] = true
 }
 
-// Suspects is how many jobs have failed on the machine that are not at fault
-// themselves, since something was done there.
-func (m *Machine) Suspects() int { return len(m.blamed) }
+// FailedJobs returns how many jobs have failed on the machine since a task was last done
+// there. Jobs at fault do not count.
+func (m *Machine) FailedJobs() int { return len(m.failedJobs) }
 
-// Clear notes that a task was done on the machine.
-func (m *Machine) Clear() { m.blamed = nil }
+// ClearFailedJobs records that a task was done on the machine.
+func (m *Machine) ClearFailedJobs() { m.failedJobs = nil }
 
-func (m *Machine) forgive(j *Job) {
-	if m.blamed[j] {
-		delete(m.blamed, j)
-		if len(m.blamed) == 0 && !m.Leaving && !m.Notice {
-			m.NoPlace = 0
+func (m *Machine) removeFailedJob(j *Job) {
+	if m.failedJobs[j] {
+		delete(m.failedJobs, j)
+		if len(m.failedJobs) == 0 && !m.Leaving && !m.InterruptionNotice {
+			m.NoPlacementBefore = 0
 		}
 	}
 }
--- a/internal/ledger/fault_test.go
+++ b/internal/ledger/fault_test.go
@@ -8,15 +8,15 @@
 	"brooklb/internal/model"
 )
 
-// TestWhoIsAtFault guards a wide array of short tasks that lands on faulty machines before
-// any of its tasks is done from being taken for a job with a mistake, which fails
-// everywhere: that one is found out all the same, whichever of its tasks fail first.
+// TestWhoIsAtFault guards against taking a wide array of short tasks for a job with a mistake
+// because some of its tasks failed on faulty machines before any was done. A job that fails on
+// every machine must still be found to be at fault.
 func TestWhoIsAtFault(t *testing.T) {
 	for _, c := range []struct {
-		tasks, bad int // on a machine each, and how many fail
+		tasks, bad int // tasks, each on its own machine, and how many of them fail
 		fault      bool
 	}{{20, 1, false}, {20, 2, false}, {20, 9, false}, {20, 20, true}, {2, 2, true}, {1, 1, false}, {3, 2, true}} {
-		e, l := start(t, map[string]string{JobKey("j-1"): record("j-1", c.tasks, 50, Open)})
+		e, l := newTestLedger(t, map[string]string{JobKey("j-1"): record("j-1", c.tasks, 50, Open)})
 		j := l.Jobs["j-1"]
 		var ps []*Placement
 		for i := range j.Tasks {
@@ -28,25 +28,25 @@
 		}
 		for _, p := range ps[:c.bad] {
 			p.Phase = model.Exited
-			l.Failed(p)
-			l.Lost(p, model.CauseError)
+			l.MarkFailed(p)
+			l.MarkLost(p, model.CauseError)
 		}
 		if j.Faulty() != c.fault {
 			t.Errorf("%d of %d tasks failed: at fault %v, want %v", c.bad, c.tasks, j.Faulty(), c.fault)
 		}
-		// A task done says that it has no mistake.
-		l.Worked(j)
+		// A task that is done shows that the job has no mistake.
+		l.MarkHealthy(j)
 		if j.Faulty() {
-			t.Error("at fault though a task of it was done")
+			t.Error("job is at fault although one of its tasks was done")
 		}
 	}
 }
 
-// TestTrialThatRuns guards against a job that is well, but was taken for one with a mistake
-// since machines were faulty, and whose trial has to be done first: a service's is never done,
-// and eleven of twelve instances waited for ever.
+// TestTrialThatRuns guards against requiring that a trial ends before a healthy job, which was
+// found at fault because of faulty machines, may start its other tasks. A service's trial never
+// ends, so eleven of twelve instances were never started.
 func TestTrialThatRuns(t *testing.T) {
-	e, l := start(t, map[string]string{JobKey("j-1"): record("j-1", 12, 50, Open)})
+	e, l := newTestLedger(t, map[string]string{JobKey("j-1"): record("j-1", 12, 50, Open)})
 	j := l.Jobs["j-1"]
 	place := func(i int, attempt uint64) *Placement {
 		m := l.Machine(fmt.Sprintf("m%02d", i))
@@ -58,14 +58,14 @@
 	ps := []*Placement{place(0, 1), place(1, 1), place(2, 1)}
 	e.now += 4 * time.Second
 	for _, p := range ps {
-		l.Failed(p)
-		l.Lost(p, model.CauseError)
+		l.MarkFailed(p)
+		l.MarkLost(p, model.CauseError)
 	}
 	if !j.Faulty() {
-		t.Fatal("not at fault though it failed on three machines")
+		t.Fatal("job is not at fault although it failed on three machines")
 	}
-	if wait := j.faults.next - e.now; wait > mostPause {
-		t.Errorf("the next trial comes in %v", wait)
+	if wait := j.failures.nextTrial - e.now; wait > maxTrialPause {
+		t.Errorf("next trial is in %v, later than the longest pause", wait)
 	}
 	p := place(0, 2)
 	for _, c := range []struct {
@@ -73,16 +73,16 @@
 		fault bool
 	}{{3 * time.Second, true}, {12 * time.Second, true}, {14 * time.Second, false}} {
 		e.now = p.RunSince + c.after
-		if l.Runs(p); j.Faulty() != c.fault {
-			t.Errorf("a trial runs for %v, failures took 4 s: at fault %v", c.after, j.Faulty())
+		if l.MarkRunning(p); j.Faulty() != c.fault {
+			t.Errorf("trial has run for %v, failed tasks ran for 4 s: at fault %v", c.after, j.Faulty())
 		}
 	}
 }
 
-// TestTrialOfAGang guards against a gang at fault that loses a task during its trial: it has to
-// be looked at again, or the others wait for the lost one until they give up.
+// TestTrialOfAGang guards against a gang at fault that loses a task during its trial and gets
+// no replacement, while its other tasks wait for the lost one until they time out.
 func TestTrialOfAGang(t *testing.T) {
-	e, l := start(t, map[string]string{JobKey("j-1"): record("j-1", 3, 50, Open)})
+	e, l := newTestLedger(t, map[string]string{JobKey("j-1"): record("j-1", 3, 50, Open)})
 	j := l.Jobs["j-1"]
 	j.Spec.Kind = model.Gang
 	for i := range 3 {
@@ -90,18 +90,18 @@
 		l.Describe(m, "g8", "z", false)
 		p := l.Plan(j, i, 1, m)
 		p.Durable, p.Phase = true, model.Running
-		l.Failed(p)
-		l.Lost(p, model.CauseError)
+		l.MarkFailed(p)
+		l.MarkLost(p, model.CauseError)
 	}
-	if !j.Faulty() || j.Trial(e.now) {
-		t.Fatalf("at fault %v, may be tried at once %v", j.Faulty(), j.Trial(e.now))
+	if !j.Faulty() || j.TrialDue(e.now) {
+		t.Fatalf("at fault %v, trial due immediately %v; want true, false", j.Faulty(), j.TrialDue(e.now))
 	}
-	e.now += mostPause
-	if !j.Trial(e.now) {
-		t.Fatal("never tried")
+	e.now += maxTrialPause
+	if !j.TrialDue(e.now) {
+		t.Fatal("no trial is due after the longest pause")
 	}
 	l.Plan(j, 0, 2, l.Machine("m00"))
-	if !j.Trial(e.now) {
-		t.Error("what its trial lost is not replaced")
+	if !j.TrialDue(e.now) {
+		t.Error("lost task of the trial is not replaced")
 	}
 }
--- a/internal/ledger/gang.go
+++ b/internal/ledger/gang.go
@@ -4,44 +4,44 @@
 	"brooklb/internal/model"
 )
 
-// replaceable reports whether a task that is gone may be replaced within its
-// gang's attempt: the gang has not begun to run, nothing of it is being stopped,
-// and the worker did not refuse the attempt (it would know it still).
+// replaceable reports whether a lost task may be replaced within its gang's attempt. This
+// requires that the gang has not begun to run, that none of its tasks is being stopped, and
+// that the worker did not refuse the attempt, since it would still know it.
 func (l *Ledger) replaceable(p *Placement, why string) bool {
 	j := p.Job
 	switch why {
-	case model.CauseLost, model.CauseSession, model.CauseError, model.CauseStopped, CauseReturned:
+	case model.CauseMachineLost, model.CauseWorkerRestarted, model.CauseError, model.CauseStopped, CauseReturned:
 	default:
 		return false
 	}
 	return Forming(j) && j.Placed > 0 && p.Durable && p.Phase != model.Running && p.Phase != model.Saving &&
 		(why != model.CauseError || j.Tasks[p.Task].Errors <= 1 && !j.Faulty()) &&
-		(why == model.CauseError || why == model.CauseStopped || waitsYet(p))
+		(why == model.CauseError || why == model.CauseStopped || gangStillWaiting(p))
 }
 
-// waitsYet reports whether another task of the gang was heard of after one that is gone
-// without a word: had the gang begun, that one would say so. When all are lost at once nobody
-// tells, and a leader that has come since knows nothing: an attempt that had begun was
-// started again under its number, and its tasks waited for one another in vain until they had
-// been started twelve times (sim.TestAllAway).
-func waitsYet(p *Placement) bool {
+// gangStillWaiting reports whether another machine with a task of the gang has reported later
+// than the lost task's machine. If the gang had begun to run, that report would show it. When
+// all machines are lost together no report shows whether the gang ran, and a new leader doesn't
+// know. Such an attempt was once started again under the same number although it had run, and
+// its tasks waited for one another in vain until they had been started twelve times.
+func gangStillWaiting(p *Placement) bool {
 	for i := range p.Job.Tasks {
-		if q := p.Job.Tasks[i].P; q != nil && q != p && q.M != p.M && q.Seen && q.M.LastHeard > p.M.LastHeard {
+		if q := p.Job.Tasks[i].CurrentPlacement; q != nil && q != p && q.Host != p.Host && q.SeenInReport && q.Host.LastReport > p.Host.LastReport {
 			return true
 		}
 	}
 	return false
 }
 
-// Forming reports whether the gang's attempt may still come together: it has
-// not begun, and nothing of it is being stopped.
+// Forming reports whether all tasks of the gang's attempt may still come to run together: the
+// attempt has not begun to run, and none of its tasks is done or being stopped.
 func Forming(j *Job) bool {
-	if j.Spec.Kind != model.Gang || j.Final != Open || j.Broken || j.Started {
+	if j.Spec.Kind != model.Gang || j.Final != Open || j.Disbanding || j.Started {
 		return false
 	}
 	attempt := uint64(0)
 	for i := range j.Tasks {
-		q := j.Tasks[i].P
+		q := j.Tasks[i].CurrentPlacement
 		if j.Tasks[i].Done {
 			return false
 		}
@@ -56,20 +56,20 @@
 	return true
 }
 
-// GiveUp stops what is there of a gang that lacks a task for too long.
-func (l *Ledger) GiveUp(j *Job) { l.breakGang(j, "no replacement was found in time") }
+// StopIncompleteGang stops the tasks of a gang that has lacked a task for too long.
+func (l *Ledger) StopIncompleteGang(j *Job) { l.disbandGang(j, "no replacement was found in time") }
 
-// breakGang stops what is left of a gang. The next attempt may begin when all
-// of the old one is gone everywhere.
-func (l *Ledger) breakGang(j *Job, why string) {
-	j.Started, j.Short = false, 0
+// disbandGang stops the remaining tasks of a gang. The next attempt may begin once all tasks
+// of the old one are gone.
+func (l *Ledger) disbandGang(j *Job, why string) {
+	j.Started, j.IncompleteSince = false, 0
 	if j.Placed == 0 {
-		j.Broken = false
+		j.Disbanding = false
 		return
 	}
-	j.Broken = true
+	j.Disbanding = true
 	for i := range j.Tasks {
-		if p := j.Tasks[i].P; p != nil && !p.Stopping {
+		if p := j.Tasks[i].CurrentPlacement; p != nil && !p.Stopping {
 			l.Stop(p, 0, "the gang lost a task: "+why)
 		}
 	}
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -7,27 +7,27 @@
 	"brooklb/internal/model"
 )
 
-// Task of a job.
+// Task is one task of a job.
 type Task struct {
-	Done      bool
-	Attempt   uint64
-	P         *Placement
-	NotBefore time.Duration
-	Errors    int
-	avoid     *Machine // machine the task failed on, or was lost with, last
-	avoidEnds time.Duration
-	Want      *Machine // machine it is being moved to
-	WantUntil time.Duration
-	Off       bool // not wanted now, by a roll-out
-	Ousted    int  // how often it was stopped for others, in a row, before it ran
+	Done             bool
+	Attempt          uint64
+	CurrentPlacement *Placement
+	NotBefore        time.Duration
+	Errors           int
+	avoid            *Machine // machine on which the task last failed or was lost
+	avoidEnds        time.Duration
+	MoveTarget       *Machine // machine that the task is being moved to
+	MoveDeadline     time.Duration
+	Unwanted         bool // a roll-out does not want the task to run now
+	Preemptions      int  // how often in a row it was preempted before it ran
 }
 
-// Avoid keeps the task off a machine until the given time. Not for ever: when
-// the machines of all tasks of a gang were avoided and there were no others, it
-// never started, since room seemed to be there and none was rented.
+// Avoid keeps the task off a machine until the given time. The time is limited because a gang
+// whose tasks avoided all machines never started: the machines seemed to have room, so none
+// was rented.
 func (t *Task) Avoid(m *Machine, until time.Duration) { t.avoid, t.avoidEnds = m, until }
 
-// Avoids is the machine that the task is kept off now, if any.
+// Avoids returns the machine that the task must not use now, or nil.
 func (t *Task) Avoids(now time.Duration) *Machine {
 	if now >= t.avoidEnds {
 		return nil
@@ -35,76 +35,78 @@
 	return t.avoid
 }
 
-// shortAvoid is how long the replacement of a gang's task keeps off the machine
-// that lost it, whose worker may know the attempt still.
-const shortAvoid = 30 * time.Second
+// replacementAvoidTime is how long the replacement of a gang's task avoids the machine that
+// lost it. The worker there may still know the attempt.
+const replacementAvoidTime = 30 * time.Second
 
-// chunk is the durable form of some tasks.
+// chunk tracks the stored record of a range of a job's tasks.
 type chunk struct {
-	stamp    uint64
-	dirty    bool
-	inFlight bool
-	since    time.Duration
-	urgent   bool // somebody waits for it: a placement that isn't durable
+	stamp      uint64
+	dirty      bool
+	inFlight   bool
+	dirtySince time.Duration
+	urgent     bool // it holds a placement that waits to become durable
 }
 
-// Job is a job that is not over, or whose tasks are not all gone.
+// Job is a job that is not over, or that still has placements or stored chunks.
 type Job struct {
-	Spec    *model.Spec
-	Stamp   uint64
-	At      int64
-	Since   time.Duration // acceptance on our steady clock
-	Rec     *JobRecord
-	Final   string
-	Tasks   []Task
-	chunks  []chunk
-	NDone   int
-	Placed  int
-	Begun   int  // tasks that were given a machine at least once
-	Broken  bool // a gang that lost a task and waits for the others to go
-	Why     string
-	Waits   string // why the job currently can't be placed
-	Started bool   // gang: seen running in this attempt
-	// Short is since when a gang that has not begun lacks a task of its attempt.
-	Short   time.Duration
-	per     int  // tasks in a chunk
-	ending  bool // in the queue of jobs whose end is to be written
-	closing bool // the final record is being written
-	broken  bool // a record of it can't be read: it is left alone
-	faults  faults
-	class   *estimates.Class
-	runs    estimates.Runs
-	asks    []ask // of counted resources
-	off     int   // tasks that are off, not done and not placed
-	// Service is the name of the service that the job is a version of, "" for
-	// none. Which of its tasks are wanted the service's record says; until that was
-	// read none is started or stopped.
+	Spec           *model.Spec
+	Stamp          uint64
+	AcceptedUnixMS int64
+	AcceptedAt     time.Duration // on this node's monotonic clock
+	Record         *JobRecord
+	Final          string
+	Tasks          []Task
+	chunks         []chunk
+	DoneTasks      int
+	Placed         int
+	EverPlaced     int  // tasks that were placed at least once
+	Disbanding     bool // a gang that lost a task and waits until the others are gone
+	StopReason     string
+	WaitReason     string // why the job can't be placed now
+	Started        bool   // a task was reported running in this attempt of the gang
+	// IncompleteSince is when a gang that has not begun to run lost a task of its attempt; 0 if
+	// it is complete.
+	IncompleteSince time.Duration
+	tasksPerChunk   int
+	endQueued       bool // waits in Ledger.unwrittenEnds
+	endInFlight     bool // its final record is being written
+	unreadable      bool // one of its records can't be read, so nothing is done with the job
+	failures        failures
+	class           *estimates.Class
+	runs            estimates.Runs
+	unitRequests    []unitRequest
+	idleUnwanted    int // unwanted tasks that are neither done nor placed
+	// Service is the name of the service that the job is a version of, or "". The service's
+	// record says which tasks are wanted. Until that record has been read, no task is started
+	// or stopped.
 	Service string
 	// Zone is the only zone in which tasks may be placed now; "": any.
 	Zone string
-	// Rolling: a roll-out counts its running tasks, nothing else may move them.
+	// Rolling says that a roll-out is under way, which counts the job's running tasks. Only the
+	// roll-out may move them.
 	Rolling bool
-	// Port is what the job's tasks listen on, as far as a roll-out says, 0: nothing;
-	// PerTask: task k on Port+k.
+	// Port is the port on which the job's tasks listen according to its roll-out; 0: none. With
+	// PerTask, task k listens on Port+k.
 	Port    int
 	PerTask bool
 }
 
-// Idle is how many tasks want a machine and have none.
-func (j *Job) Idle() int { return len(j.Tasks) - j.NDone - j.Placed - j.off }
+// Idle returns how many tasks wait for a machine.
+func (j *Job) Idle() int { return len(j.Tasks) - j.DoneTasks - j.Placed - j.idleUnwanted }
 
-// Size is how many tasks want a machine or have one.
-func (j *Job) Size() int { return j.Idle() + j.Placed }
+// WantedTasks returns how many tasks wait for a machine or have one.
+func (j *Job) WantedTasks() int { return j.Idle() + j.Placed }
 
-// SetWanted says which of a service's tasks are wanted. The others are not
-// started any more; those that run are the caller's to stop.
+// SetWanted sets which of a service's tasks are wanted. The others are not started any more.
+// The caller must stop those that run.
 func (l *Ledger) SetWanted(j *Job, wanted func(task int) bool) {
-	j.off = 0
+	j.idleUnwanted = 0
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		t.Off = !wanted(i)
-		if t.Off && t.P == nil && !t.Done {
-			j.off++
+		t.Unwanted = !wanted(i)
+		if t.Unwanted && t.CurrentPlacement == nil && !t.Done {
+			j.idleUnwanted++
 		}
 	}
 	if l.OnChange != nil {
@@ -112,9 +114,9 @@
 	}
 }
 
-// EstimateS is how many seconds a task of the job is thought to run: its owner's
-// estimate, corrected by what was seen of the class.
+// EstimateS returns the expected run time of a task in seconds: its owner's estimate,
+// corrected by the run times of the job's class.
 func (j *Job) EstimateS() float64 { return j.Spec.EstimateS * j.class.Factor() }
 
-// Readable reports whether all of the job's record could be read.
-func (j *Job) Readable() bool { return !j.broken }
+// Readable reports whether all records of the job could be read.
+func (j *Job) Readable() bool { return !j.unreadable }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,7 +1,7 @@
-// Package ledger is the leader's truth of jobs, tasks, placements and quotas.
-// It writes before anybody acts: a placement can be started only once it is
-// durable, and it occupies its machine, its team's limit and its zone from the
-// moment it is planned until it is proven absent.
+// Package ledger keeps the leader's authoritative state of jobs, tasks, placements and quotas.
+// State is written before it is acted on: a placement can be started only once it is durable.
+// A placement counts against its machine, its team's limit and its zone from the moment it is
+// planned until it is proven absent.
 package ledger
 
 import (
@@ -15,56 +15,58 @@
 	"brooklb/internal/units"
 )
 
-// Ledger of one leader's term.
+// Ledger is the state of one leader's term.
 type Ledger struct {
 	env      actor.Env
 	store    *statestore.Store
 	token    uint64
 	Jobs     map[string]*Job
 	Machines map[string]*Machine
-	byName   []*Machine // the same, in name order
+	byName   []*Machine // the same machines in name order
 	Teams    map[string]*Team
 	Types    map[string]*model.MachineType
-	// Returned has the machines that the cloud says are gone. Their reports
-	// and list entries may still be on their way; names are not used again.
+	// Returned holds the names of machines that are gone. Reports and list entries that were
+	// sent before may still arrive. Names are not used again.
 	Returned map[string]bool
-	// Estimates has what was learned of the owners' estimates.
+	// Estimates holds corrections of the owners' estimates.
 	Estimates estimates.Classes
-	// Units has the counted resources.
+	// Units holds the counted resources.
 	Units *units.Book
-	// What was seen of spot machines being taken back: how many, and over how
+	// SpotInterruptions is how many spot machines the cloud has taken back, SpotHours over how
 	// many machine hours.
-	SpotTaken, SpotHours float64
-	order                []*Job
-	dirty                []dirtyRef
-	ends                 []*Job   // done, which is to be written
-	orphans              []orphan // chunks of jobs that are over
-	flying               bool
-	stopped              bool
-	loading              bool
-	resting              *actor.Timer
+	SpotInterruptions, SpotHours float64
+	order                        []*Job
+	dirty                        []dirtyChunk
+	unwrittenEnds                []*Job   // jobs whose final record is to be written
+	orphans                      []orphan // chunks of jobs that are over, to be deleted
+	commitInFlight               bool
+	closed                       bool
+	loading                      bool
+	flushTimer                   *actor.Timer
 	// Hooks of the term.
 	OnDurable func(p []*Placement)
 	OnChange  func()
 	OnStop    func(p *Placement)
-	// OnCancelled hears of a job that is over while its tasks may run, before they are stopped.
-	OnCancelled func(j *Job)
-	OnDeposed   func()
-	Warm        func(m *Machine) // fills in what is remembered of a machine's images
-	MaxOps      int
-	// Attempts is what a restored cluster adds to recorded attempts below it.
-	Attempts uint64
-	// Changes is what was written in this term.
+	// OnCancelled is called for a job that is over while its tasks may still run, before they
+	// are stopped.
+	OnCancelled   func(j *Job)
+	OnDeposed     func()
+	RestoreImages func(m *Machine) // fills in the images known to be on a new entry's machine
+	MaxOps        int              // most changes in a transaction
+	// AttemptOffset is added to recorded attempt numbers below it after the cluster was restored
+	// from a snapshot.
+	AttemptOffset uint64
+	// Changes counts what was written in this term.
 	Changes Changes
-	// Quiet is the longest time in which starts or ends waited to be written and nothing
-	// was, in this term, seen from Kick to Kick.
-	Quiet            time.Duration
-	written, pending time.Duration // the last write; since when something waits, 0: nothing
+	// LongestWriteStall is the longest time of this term in which starts or ends waited and
+	// nothing was written, as seen by calls of FlushPending.
+	LongestWriteStall       time.Duration
+	lastWrite, pendingSince time.Duration // pendingSince is 0 if no start or end waits
 }
 
-type dirtyRef struct {
-	job *Job
-	n   int
+type dirtyChunk struct {
+	job   *Job
+	chunk int
 }
 
 type orphan struct {
@@ -72,7 +74,7 @@
 	stamp uint64
 }
 
-// New makes the ledger of a term from the replica.
+// New returns an empty ledger for a term. Load fills it from the replica.
 func New(env actor.Env, store *statestore.Store, token uint64, teams []settings.Team) *Ledger {
 	l := &Ledger{env: env, store: store, token: token, Jobs: map[string]*Job{}, Machines: map[string]*Machine{},
 		Teams: map[string]*Team{}, Returned: map[string]bool{}, Estimates: estimates.Classes{}, Units: units.NewBook(), Types: map[string]*model.MachineType{}, MaxOps: store.Config().TxnOps}
@@ -82,31 +84,33 @@
 	return l
 }
 
-// Close ends the term: nothing is written any more.
+// Close ends the term. Nothing is written after it.
 func (l *Ledger) Close() {
-	l.stopped = true
-	l.resting.Stop()
+	l.closed = true
+	l.flushTimer.Stop()
 }
 
-// SpotRisk is how likely a spot machine is to be taken back, per second. Until
-// more is seen it counts as once an hour.
-func (l *Ledger) SpotRisk() float64 { return (1 + l.SpotTaken) / (1 + l.SpotHours) / 3600 }
+// SpotInterruptionRate returns the estimated rate per second at which the cloud takes a spot
+// machine back. It starts at once per machine hour.
+func (l *Ledger) SpotInterruptionRate() float64 {
+	return (1 + l.SpotInterruptions) / (1 + l.SpotHours) / 3600
+}
 
-// Order lists the open jobs in the order of their acceptance.
+// Order lists the ledger's jobs in the order of their acceptance.
 func (l *Ledger) Order() []*Job { return l.order }
 
-func (l *Ledger) abandon(j *Job) {
+func (l *Ledger) stopTasks(j *Job) {
 	for i := range j.Tasks {
-		if p := j.Tasks[i].P; p != nil {
+		if p := j.Tasks[i].CurrentPlacement; p != nil {
 			l.Stop(p, 0, model.CauseCancelled)
 		}
 	}
-	l.forgetIfOver(j)
+	l.removeIfOver(j)
 }
 
-// forgetIfOver drops a job whose end is durable and of which nothing is left;
-// its chunks are deleted.
-func (l *Ledger) forgetIfOver(j *Job) {
+// removeIfOver removes a job whose end is durable and that has no placements. It first marks
+// the job's chunks for deletion, and removes the job once they are deleted.
+func (l *Ledger) removeIfOver(j *Job) {
 	if j.Final == Open || j.Placed > 0 {
 		return
 	}
@@ -119,15 +123,15 @@
 	for i := range j.chunks {
 		if j.chunks[i].stamp != 0 {
 			pending = true
-			l.touch(j, i*j.per, false)
+			l.markDirty(j, i*j.tasksPerChunk, false)
 		}
 	}
 	if pending {
 		return
 	}
 	delete(l.Jobs, j.Spec.ID)
-	for _, u := range j.asks {
-		l.Units.All[u.i].Asked--
+	for _, u := range j.unitRequests {
+		l.Units.All[u.resource].Asked--
 	}
 	for i, x := range l.order {
 		if x == j {
@@ -137,10 +141,10 @@
 	}
 }
 
-// Ran notes that a placement's task was done: of what ran through from the
-// beginning it is learned how wrong the estimates are, of a gang once, and how
-// fast the machine is. When an inherited task began to run isn't known.
-func (l *Ledger) Ran(p *Placement) {
+// LearnRunTime takes the run time of a completed task into the estimates of its class, once
+// per gang, and for arrays into the pace of its machine. Only first attempts count. The run
+// time of an inherited task is unknown.
+func (l *Ledger) LearnRunTime(p *Placement) {
 	j := p.Job
 	if p.Attempt != 1 || p.Inherited || p.RunSince <= 0 || j.class == nil {
 		return
@@ -149,9 +153,9 @@
 	if j.Spec.Kind == model.Array || p.Task == 0 {
 		j.class.RecordRun(j.Spec.EstimateS, took)
 	}
-	if j.Spec.Kind == model.Array && !p.Vague {
+	if j.Spec.Kind == model.Array && !p.RunSinceUncertain {
 		if ratio, ok := j.runs.Add(took); ok {
-			p.M.Pace.RecordRun(ratio)
+			p.Host.Pace.RecordRun(ratio)
 		}
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -17,7 +17,8 @@
 	"brooklb/internal/wire"
 )
 
-// env answers for the state service at once, and keeps what is committed.
+// env stands in for the state service: it answers each request after 1 ms and records committed
+// transactions.
 type env struct {
 	now    time.Duration
 	timers actor.Timers
@@ -64,28 +65,28 @@
 		e.epoch++
 		body = fmt.Sprintf(`{"epoch":%d}`, e.epoch)
 	default:
-		return // a watch stays open
+		return // a watch is never answered
 	}
 	e.After(time.Millisecond, func() { c.Done(actor.Answer{Status: 200, Body: []byte(body)}) })
 }
 
-func start(t testing.TB, items map[string]string) (*env, *Ledger) {
+func newTestLedger(t testing.TB, items map[string]string) (*env, *Ledger) {
 	t.Helper()
 	e := &env{items: items, epoch: 5}
 	s := statestore.New(e, statestore.Config{RPS: 100, WriteRPS: 25, Nodes: 1, TxnOps: 12, ValueBytes: 4096})
 	s.Start()
 	e.run(time.Second)
 	if !s.Synced() {
-		t.Fatal("the replica isn't there")
+		t.Fatal("replica is not synced after 1 s")
 	}
 	l := New(e, s, 3, []settings.Team{{Name: "t"}})
-	l.Types["g8"] = &model.MachineType{Name: "g8", Cap: model.Need{CPUs: 1e6}}
+	l.Types["g8"] = &model.MachineType{Name: "g8", Cap: model.Resources{CPUs: 1e6}}
 	l.Load()
 	return e, l
 }
 
 func spec(id string, tasks int) *model.Spec {
-	return &model.Spec{ID: id, Team: "t", Tasks: tasks, Need: model.Need{CPUs: 1}, Image: "i"}
+	return &model.Spec{ID: id, Team: "t", Tasks: tasks, Resources: model.Resources{CPUs: 1}, Image: "i"}
 }
 
 func record(id string, tasks, chunk int, final string) string {
@@ -94,12 +95,11 @@
 	return string(r.Encode())
 }
 
-// TestChunksFitTheValueLimit guards against a value over the limit, which would
-// be refused for ever: with names of machines longer than was reckoned with,
-// some placements have to wait.
+// TestChunksFitTheValueLimit guards against a value over the limit, which the state service
+// would always refuse. With very long machine names, some placements must wait.
 func TestChunksFitTheValueLimit(t *testing.T) {
-	chunk := ChunkTasks(4096)
-	e, l := start(t, map[string]string{JobKey("j-1"): record("j-1", 3*chunk, chunk, Open)})
+	chunk := TasksPerChunk(4096)
+	e, l := newTestLedger(t, map[string]string{JobKey("j-1"): record("j-1", 3*chunk, chunk, Open)})
 	j := l.Jobs["j-1"]
 	m := l.Machine("vm-" + strings.Repeat("x", 90))
 	l.Describe(m, "g8", "z", false)
@@ -109,16 +109,16 @@
 		l.Plan(j, i, 1, m)
 	}
 	for range 20 {
-		l.Kick()
+		l.FlushPending()
 		e.run(250 * time.Millisecond)
 	}
 	for _, x := range e.txns {
 		if len(x.Apply) > 12 {
-			t.Errorf("a transaction of %d changes", len(x.Apply))
+			t.Errorf("transaction of %d changes, want at most 12", len(x.Apply))
 		}
 		for _, c := range x.Apply {
 			if len(c.Value) > 4096 {
-				t.Errorf("a value of %d bytes", len(c.Value))
+				t.Errorf("value of %d bytes, want at most 4096", len(c.Value))
 			}
 		}
 	}
@@ -126,12 +126,12 @@
 		t.Errorf("%d tasks durable, %d placed of %d", durable, j.Placed, len(j.Tasks))
 	}
 	if m.Used.CPUs != float64(j.Placed) {
-		t.Errorf("the machine counts %v of %d tasks", m.Used.CPUs, j.Placed)
+		t.Errorf("machine counts %v CPUs for %d tasks", m.Used.CPUs, j.Placed)
 	}
 }
 
-// TestEndsGoFirst guards against a job's end, which its user waits for, that
-// stands in line behind what only spares work after a failure.
+// TestEndsGoFirst guards against a job's end, for which its user waits, being written after
+// changes that only save repeated work after a failure.
 func TestEndsGoFirst(t *testing.T) {
 	items := map[string]string{}
 	for i := range 30 {
@@ -139,21 +139,21 @@
 		items[JobKey(id)] = record(id, 2, 48, Open)
 		items[ChunkKey(id, 0)] = `{"v":2,"t":"1@vm-1 1@vm-1"}`
 	}
-	e, l := start(t, items)
+	e, l := newTestLedger(t, items)
 	for i := range 30 {
-		l.Finished(l.Jobs[fmt.Sprintf("j-%d", i)], 0)
+		l.MarkFinished(l.Jobs[fmt.Sprintf("j-%d", i)], 0)
 	}
 	e.run(300 * time.Millisecond)
 	if len(e.txns) > 0 {
-		t.Errorf("%d transactions for marks that can wait", len(e.txns))
+		t.Errorf("%d transactions for task states that can wait", len(e.txns))
 	}
-	l.Finished(l.Jobs["j-29"], 1)
+	l.MarkFinished(l.Jobs["j-29"], 1)
 	e.run(50 * time.Millisecond)
 	if len(e.txns) == 0 || e.txns[0].Apply[0].Write != JobKey("j-29") {
-		t.Fatalf("the end isn't first: %+v", e.txns)
+		t.Fatalf("end of the job is not written first: %+v", e.txns)
 	}
 	for range 200 { // the leader's tick
-		l.Kick()
+		l.FlushPending()
 		e.run(250 * time.Millisecond)
 	}
 	wrote := map[string]bool{}
@@ -164,23 +164,23 @@
 	}
 	for i := range 30 {
 		if !wrote[ChunkKey(fmt.Sprintf("j-%d", i), 0)] {
-			t.Errorf("the mark of j-%d was never written", i)
+			t.Errorf("task states of j-%d were never written", i)
 		}
 	}
 	if l.Jobs["j-29"] != nil {
-		t.Error("a job that is over is kept")
+		t.Error("completed job j-29 is still in the ledger")
 	}
 }
 
-// TestOrphanChunks guards against chunks that a crash left behind and that stay
-// for ever, and against losing those of a job whose record can't be read.
+// TestOrphanChunks guards against keeping chunks of a completed job that were left behind by a
+// crash, and against deleting those of a job whose record can't be read.
 func TestOrphanChunks(t *testing.T) {
-	e, l := start(t, map[string]string{
+	e, l := newTestLedger(t, map[string]string{
 		JobKey("j-1"): record("j-1", 2, 48, Done), ChunkKey("j-1", 0): `{"v":2,"t":"d d"}`,
 		JobKey("j-2"): `{"v":99}`, ChunkKey("j-2", 0): `{"v":2,"t":"1@vm-1"}`,
 		JobKey("j-3"): record("j-3", 60, 0, Open), ChunkKey("j-3", 1): `{"v":1,"t":"d 4@vm-1 d"}`})
 	for range 20 {
-		l.Kick()
+		l.FlushPending()
 		e.run(250 * time.Millisecond)
 	}
 	deleted := ""
@@ -190,10 +190,10 @@
 		}
 	}
 	if deleted != ChunkKey("j-1", 0)+" " {
-		t.Errorf("deleted: %s", deleted)
+		t.Errorf("deleted %q, want only the chunk of the completed job", deleted)
 	}
-	// Format 1 had 48 tasks in every chunk.
-	if j := l.Jobs["j-3"]; j == nil || !j.Tasks[48].Done || j.Tasks[49].P == nil || j.Tasks[49].Attempt != 4 || j.NDone != 2 {
-		t.Errorf("a job of format 1 was read as %+v", j)
+	// In format 1 every chunk has 48 tasks.
+	if j := l.Jobs["j-3"]; j == nil || !j.Tasks[48].Done || j.Tasks[49].CurrentPlacement == nil || j.Tasks[49].Attempt != 4 || j.DoneTasks != 2 {
+		t.Errorf("job of format 1 was read as %+v", j)
 	}
 }
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -10,29 +10,29 @@
 	"brooklb/internal/statestore"
 )
 
-// Load builds the picture from the replica, which the caller knows to be
-// complete up to our token.
+// Load fills the ledger from the replica. The caller must know that the replica is complete up
+// to the term's token.
 func (l *Ledger) Load() {
-	// A cancelled job must not be forgotten before its chunks have told where
-	// its tasks are: they occupy their team's limit until they are gone.
+	// A cancelled job must not be removed before its chunks have been loaded: its tasks count
+	// against their team's limit until they are gone.
 	l.loading = true
-	l.store.Each(JobPrefix, func(k string, it statestore.Item) { l.JobEvent(k, &it) })
+	l.store.Each(JobPrefix, func(k string, it statestore.Item) { l.ApplyJobRecord(k, &it) })
 	l.store.Each(ChunkPrefix, func(k string, it statestore.Item) { l.loadChunk(k, it) })
 	l.loading = false
 	for _, j := range append([]*Job(nil), l.order...) {
 		if j.Final != Open {
-			l.abandon(j)
+			l.stopTasks(j)
 		}
 	}
 }
 
-// JobEvent hears of a job record's change.
-func (l *Ledger) JobEvent(key string, it *statestore.Item) {
+// ApplyJobRecord applies a change of a job's record. The item is nil if the record was deleted.
+func (l *Ledger) ApplyJobRecord(key string, it *statestore.Item) {
 	id := strings.TrimPrefix(key, JobPrefix)
 	j := l.Jobs[id]
 	if it == nil {
 		if j != nil {
-			l.env.Log().Error("a job record has vanished", "job", id)
+			l.env.Log().Error("job record was deleted unexpectedly", "job", id)
 		}
 		return
 	}
@@ -41,7 +41,7 @@
 	}
 	r, err := DecodeRecord(id, it.Value)
 	if err != nil {
-		l.env.Log().Error("job record can't be read, kept as it is", "key", key, "err", err)
+		l.env.Log().Error("job record can't be read, leaving it unchanged", "key", key, "err", err)
 		return
 	}
 	if j == nil {
@@ -51,21 +51,21 @@
 		if r.Final != Open && !l.hasChunks(id, r) {
 			return
 		}
-		j = &Job{Spec: r.spec, At: r.At, Tasks: make([]Task, r.Tasks), per: r.Chunk,
+		j = &Job{Spec: r.spec, AcceptedUnixMS: r.AcceptedUnixMS, Tasks: make([]Task, r.Tasks), tasksPerChunk: r.TasksPerChunk,
 			chunks: make([]chunk, r.Chunks()), class: l.Estimates.Class(r.spec.Class)}
-		age := max(0, l.env.Wall().UnixMilli()-r.At)
-		j.Since = l.env.Now() - time.Duration(age)*time.Millisecond
-		l.resolve(j)
+		age := max(0, l.env.Wall().UnixMilli()-r.AcceptedUnixMS)
+		j.AcceptedAt = l.env.Now() - time.Duration(age)*time.Millisecond
+		l.resolveUnits(j)
 		if r.Service != "" {
 			l.SetWanted(j, func(int) bool { return false })
 		}
 		l.Jobs[id] = j
-		i := sort.Search(len(l.order), func(i int) bool { return l.order[i].Since > j.Since })
+		i := sort.Search(len(l.order), func(i int) bool { return l.order[i].AcceptedAt > j.AcceptedAt })
 		l.order = append(l.order, nil)
 		copy(l.order[i+1:], l.order[i:])
 		l.order[i] = j
 	}
-	j.Stamp, j.Rec, j.Service = it.Stamp, r, r.Service
+	j.Stamp, j.Record, j.Service = it.Stamp, r, r.Service
 	if r.Final != Open && j.Final == Open {
 		j.Final = r.Final
 		l.env.Log().Info("job over", "job", id, "phase", r.Final)
@@ -73,7 +73,7 @@
 			if l.OnCancelled != nil {
 				l.OnCancelled(j)
 			}
-			l.abandon(j)
+			l.stopTasks(j)
 		}
 	}
 	if l.OnChange != nil {
@@ -82,7 +82,7 @@
 }
 
 func (l *Ledger) hasChunks(id string, r *JobRecord) bool {
-	// Chunks of long arrays are not written in order.
+	// The chunks of a long array are not written in order, so any of them may exist.
 	for n := range r.Chunks() {
 		if _, ok := l.store.Peek(ChunkKey(id, n)); ok {
 			return true
@@ -100,8 +100,8 @@
 	j := l.Jobs[rest[:i]]
 	n, err := strconv.Atoi(rest[i+1:])
 	if j == nil && err == nil {
-		// An earlier leader wrote the end, but came no further. A record that
-		// can't be read may be anything: its chunks stay.
+		// An earlier leader wrote the end of the job, but did not delete its chunks. If the
+		// job's record can't be read, the chunks are kept.
 		if rec, ok := l.store.Peek(JobKey(rest[:i])); ok {
 			if r, err := DecodeRecord(rest[:i], rec.Value); err == nil && r.Final == Done {
 				l.orphans = append(l.orphans, orphan{key, it.Stamp})
@@ -113,34 +113,34 @@
 	}
 	st, why, err := decodeChunk(key, it.Value)
 	if err != nil {
-		l.env.Log().Error("chunk can't be read, its job is left alone", "key", key, "err", err)
-		j.Waits = "its record can't be read"
-		j.broken = true
+		l.env.Log().Error("chunk can't be read, its job will not be scheduled", "key", key, "err", err)
+		j.WaitReason = "its record can't be read"
+		j.unreadable = true
 		return
 	}
 	j.chunks[n].stamp = it.Stamp
 	if why != "" {
-		j.Why = why
+		j.StopReason = why
 	}
 	for k, s := range st {
-		t := n*j.per + k
-		if k >= j.per || t >= len(j.Tasks) {
+		t := n*j.tasksPerChunk + k
+		if k >= j.tasksPerChunk || t >= len(j.Tasks) {
 			break
 		}
 		task := &j.Tasks[t]
 		task.Attempt = s.attempt
-		if s.attempt < l.Attempts {
-			task.Attempt += l.Attempts
+		if s.attempt < l.AttemptOffset {
+			task.Attempt += l.AttemptOffset
 		}
 		if s.done || s.attempt > 0 {
-			j.Begun++
+			j.EverPlaced++
 		}
 		if s.done {
 			task.Done = true
-			j.NDone++
+			j.DoneTasks++
 		} else if s.machine != "" {
 			m := l.Machine(s.machine)
-			p := &Placement{Job: j, Task: t, Attempt: s.attempt, M: m, Durable: true, Inherited: true, Since: l.env.Now()}
+			p := &Placement{Job: j, Task: t, Attempt: s.attempt, Host: m, Durable: true, Inherited: true, PlacedAt: l.env.Now()}
 			l.occupy(p)
 			if j.Final != Open {
 				p.Stopping, p.StopWhy = true, model.CauseCancelled
@@ -148,14 +148,14 @@
 		}
 	}
 	if j.Spec.Kind == model.Gang {
-		l.checkGang(j)
+		l.checkLoadedGang(j)
 	}
 	l.checkEnd(j)
 }
 
-func (l *Ledger) checkGang(j *Job) {
+func (l *Ledger) checkLoadedGang(j *Job) {
 	if j.Placed > 0 && j.Placed < len(j.Tasks) && j.Final == Open {
-		// Only part of the gang is recorded: the rest can't be known to join.
+		// Only part of the gang is recorded as placed, so the other tasks may never start.
 		complete := true
 		for i := range j.chunks {
 			if j.chunks[i].stamp == 0 {
@@ -163,7 +163,7 @@
 			}
 		}
 		if complete || len(j.chunks) == 1 {
-			l.breakGang(j, model.CauseLost)
+			l.disbandGang(j, model.CauseMachineLost)
 		}
 	}
 }
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -10,48 +10,48 @@
 
 // Placement is one attempt of a task on a machine.
 type Placement struct {
-	Job       *Job
-	Task      int
-	Attempt   uint64
-	M         *Machine
-	Durable   bool
-	Inherited bool   // recorded by an earlier leader
-	Session   uint64 // session in which we told the worker to start it
-	Seen      bool
-	Phase     model.Phase
-	Since     time.Duration // of the placement
-	RunSince  time.Duration
-	Stopping  bool
-	GraceS    float64
-	StopSince time.Duration
-	StopSent  time.Duration
-	StopWhy   string
-	Vague     bool // when it began to run isn't known closely
-	SentAt    time.Duration
-	ToldAt    time.Duration // when the start was last in an answer to a report; 0: never
-	// VoidBy is when no start of a cancelled job that may yet arrive may be executed any
-	// more, 0: not cancelled.
-	VoidBy  time.Duration
-	Again   bool // has waited in vain for its gang, is to be started again in the same attempt
-	Retries int  // how often that happened
-	Gone    bool
+	Job               *Job
+	Task              int
+	Attempt           uint64
+	Host              *Machine
+	Durable           bool
+	Inherited         bool   // recorded by an earlier leader
+	Session           uint64 // the worker's session in which it was told to start the task
+	SeenInReport      bool
+	Phase             model.Phase
+	PlacedAt          time.Duration // when the task was placed, or the placement was loaded
+	RunSince          time.Duration
+	Stopping          bool
+	GraceS            float64
+	StopSince         time.Duration
+	StopSent          time.Duration
+	StopWhy           string
+	RunSinceUncertain bool // RunSince may be off by more than two report intervals
+	StartSentAt       time.Duration
+	StartInAnswerAt   time.Duration // when an answer to a report last contained the start; 0: never
+	// StartDeadline is the time after which a start that is still under way must no longer be
+	// executed, because the job was cancelled; 0: not cancelled.
+	StartDeadline  time.Duration
+	RestartPending bool // the task has waited in vain for its gang, and is to be started again in the same attempt
+	Retries        int  // how often that happened
+	Gone           bool
 }
 
 func (l *Ledger) occupy(p *Placement) {
 	j := p.Job
-	if t := &j.Tasks[p.Task]; t.Off && t.P == nil {
-		j.off--
+	if t := &j.Tasks[p.Task]; t.Unwanted && t.CurrentPlacement == nil {
+		j.idleUnwanted--
 	}
-	j.Tasks[p.Task].P = p
+	j.Tasks[p.Task].CurrentPlacement = p
 	j.Placed++
-	i := p.M.find(j.Spec.ID, p.Task)
-	p.M.P = append(p.M.P, nil)
-	copy(p.M.P[i+1:], p.M.P[i:])
-	p.M.P[i] = p
-	p.M.Used = p.M.Used.Add(j.Spec.Need)
-	l.takeUnits(p)
+	i := p.Host.placementIndex(j.Spec.ID, p.Task)
+	p.Host.Placements = append(p.Host.Placements, nil)
+	copy(p.Host.Placements[i+1:], p.Host.Placements[i:])
+	p.Host.Placements[i] = p
+	p.Host.Used = p.Host.Used.Add(j.Spec.Resources)
+	l.acquireUnits(p)
 	if t := l.Teams[j.Spec.Team]; t != nil {
-		t.Used = t.Used.Add(j.Spec.Need)
+		t.Used = t.Used.Add(j.Spec.Resources)
 	}
 }
 
@@ -61,67 +61,67 @@
 		return
 	}
 	p.Gone = true
-	j.Tasks[p.Task].P = nil
+	j.Tasks[p.Task].CurrentPlacement = nil
 	j.Placed--
-	if j.Tasks[p.Task].Off {
-		j.off++
+	if j.Tasks[p.Task].Unwanted {
+		j.idleUnwanted++
 	}
-	for i := p.M.find(j.Spec.ID, p.Task); i < len(p.M.P); i++ {
-		if p.M.P[i] == p {
-			p.M.P = append(p.M.P[:i], p.M.P[i+1:]...)
+	for i := p.Host.placementIndex(j.Spec.ID, p.Task); i < len(p.Host.Placements); i++ {
+		if p.Host.Placements[i] == p {
+			p.Host.Placements = append(p.Host.Placements[:i], p.Host.Placements[i+1:]...)
 			break
 		}
 	}
-	p.M.Used = p.M.Used.Sub(j.Spec.Need)
-	l.giveUnits(p)
-	if len(p.M.P) == 0 {
-		p.M.Used = model.Need{}
-		p.M.IdleSince = l.env.Now()
+	p.Host.Used = p.Host.Used.Sub(j.Spec.Resources)
+	l.releaseUnits(p)
+	if len(p.Host.Placements) == 0 {
+		p.Host.Used = model.Resources{}
+		p.Host.IdleSince = l.env.Now()
 	}
 	if t := l.Teams[j.Spec.Team]; t != nil {
-		t.Used = t.Used.Sub(j.Spec.Need)
+		t.Used = t.Used.Sub(j.Spec.Resources)
 	}
 }
 
-// Plan places an idle task on a machine. The start follows once it is durable.
+// Plan places an idle task on a machine. The task is started once the placement is durable.
 func (l *Ledger) Plan(j *Job, task int, attempt uint64, m *Machine) *Placement {
 	t := &j.Tasks[task]
 	if t.Attempt == 0 {
-		j.Begun++
+		j.EverPlaced++
 	}
 	t.Attempt = attempt
 	if j.Placed == 0 {
 		j.Started = false
 	}
-	p := &Placement{Job: j, Task: task, Attempt: attempt, M: m, Since: l.env.Now()}
+	p := &Placement{Job: j, Task: task, Attempt: attempt, Host: m, PlacedAt: l.env.Now()}
 	l.occupy(p)
 	if j.Placed == len(j.Tasks) {
-		j.Short = 0
+		j.IncompleteSince = 0
 	}
-	l.touch(j, task, true)
+	l.markDirty(j, task, true)
 	return p
 }
 
-// Finished records that a task is done. Its placement, if any, is gone.
-func (l *Ledger) Finished(j *Job, task int) {
+// MarkFinished records that a task is done, and removes its placement if it has one.
+func (l *Ledger) MarkFinished(j *Job, task int) {
 	t := &j.Tasks[task]
-	if p := t.P; p != nil {
+	if p := t.CurrentPlacement; p != nil {
 		l.vacate(p)
 	}
 	if t.Done || j.Spec.Kind == model.Service {
 		return
 	}
 	t.Done = true
-	j.NDone++
-	l.Worked(j)
-	l.touch(j, task, false)
+	j.DoneTasks++
+	l.MarkHealthy(j)
+	l.markDirty(j, task, false)
 	if j.Spec.Kind == model.Gang {
-		// The tasks of a gang complete together: one done, all done.
+		// The tasks of a gang complete together, so the unplaced ones are done, too.
 		for i := range j.Tasks {
-			if !j.Tasks[i].Done && j.Tasks[i].P == nil {
+			if !j.Tasks[i].Done && j.Tasks[i].CurrentPlacement == nil {
 				j.Tasks[i].Done = true
-				j.NDone++
-				l.touch(j, i, false)
+				j.DoneTasks++
+				l.markDirty(j, i, false)
 			}
 		}
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-// Lost records that a placement is proven absent without having completed.
-func (l *Ledger) Lost(p *Placement, why string) {
+// MarkLost records that a placement is proven absent without its task having completed.
+func (l *Ledger) MarkLost(p *Placement, why string) {
 	if p.Gone {
 		return
 	}
@@ -148,12 +148,12 @@
 			case p.Inherited && strings.HasPrefix(why, model.CauseStopped):
 				cause = why + " by an earlier leader, which kept no reason"
 			}
-			j.Why = "task " + strconv.Itoa(p.Task) + " attempt " + strconv.FormatUint(p.Attempt, 10) + " on " + p.M.Name + ": " + cause
+			j.StopReason = "task " + strconv.Itoa(p.Task) + " attempt " + strconv.FormatUint(p.Attempt, 10) + " on " + p.Host.Name + ": " + cause
 		}
-		l.env.Log().Info("task gone", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", p.M.Name, "why", why, "stop", p.StopWhy)
+		l.env.Log().Info("task gone", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", p.Host.Name, "why", why, "stop", p.StopWhy)
 	}
-	if c := &j.chunks[p.Task/j.per]; durable || c.stamp != 0 || c.inFlight {
-		l.touch(j, p.Task, false)
+	if c := &j.chunks[p.Task/j.tasksPerChunk]; durable || c.stamp != 0 || c.inFlight {
+		l.markDirty(j, p.Task, false)
 	}
 	if j.Spec.Kind == model.Gang && j.Final == Open && !j.Tasks[p.Task].Done {
 		someDone := false
@@ -164,26 +164,26 @@
 		}
 		switch {
 		case someDone:
-			l.Finished(j, p.Task)
+			l.MarkFinished(j, p.Task)
 		case l.replaceable(p, why):
-			// The others keep waiting; a replacement with the same attempt
-			// number completes the gang.
-			j.Tasks[p.Task].Avoid(p.M, l.env.Now()+shortAvoid)
-			if j.Short == 0 {
-				j.Short = l.env.Now()
+			// The other tasks keep waiting. A replacement with the same attempt number
+			// completes the gang.
+			j.Tasks[p.Task].Avoid(p.Host, l.env.Now()+replacementAvoidTime)
+			if j.IncompleteSince == 0 {
+				j.IncompleteSince = l.env.Now()
 			}
 		default:
-			l.breakGang(j, why)
+			l.disbandGang(j, why)
 		}
 	}
 	l.checkEnd(j)
-	l.forgetIfOver(j)
+	l.removeIfOver(j)
 	if l.OnChange != nil {
 		l.OnChange()
 	}
 }
 
-// Grace is how many seconds a placement's task is to be given to save when it is
+// Grace returns how many seconds a placement's task gets to save its progress when it is
 // stopped; 0 if it has nothing to save.
 func (p *Placement) Grace() float64 {
 	if p.Job.Spec.CheckpointS > 0 && p.Phase == model.Running {
@@ -192,11 +192,11 @@
 	return 0
 }
 
-// CauseReturned is why the tasks of a machine that was given back are gone.
+// CauseReturned is the cause for tasks whose machine was returned to the cloud.
 const CauseReturned = "its machine was returned"
 
-// Stop asks for the end of a placement. One that nobody was told of is gone
-// at once.
+// Stop requests the end of a placement. A placement that is not durable was never sent to its
+// worker, so it is removed immediately.
 func (l *Ledger) Stop(p *Placement, graceS float64, why string) {
 	if p.Gone {
 		return
@@ -210,7 +210,7 @@
 	}
 	p.Stopping, p.GraceS, p.StopSent = true, graceS, 0
 	if !p.Durable {
-		l.Lost(p, model.CauseStopped)
+		l.MarkLost(p, model.CauseStopped)
 		return
 	}
 	if l.OnStop != nil {
--- a/internal/ledger/ran_test.go
+++ b/internal/ledger/ran_test.go
@@ -9,11 +9,11 @@
 	"brooklb/internal/statestore"
 )
 
-// TestRanLearnsFromOwnTasksOnly guards against estimates that look better than
-// they are after a takeover: when an inherited task began to run isn't known, and
-// it was taken for the moment at which the new leader first heard of it.
+// TestRanLearnsFromOwnTasksOnly guards against too short run times after a change of leader: the
+// start of an inherited task is unknown, and was taken to be when the new leader first heard of
+// the task.
 func TestRanLearnsFromOwnTasksOnly(t *testing.T) {
-	e, l := start(t, map[string]string{JobKey("j-1"): record("j-1", 200, 50, Open)})
+	e, l := newTestLedger(t, map[string]string{JobKey("j-1"): record("j-1", 200, 50, Open)})
 	j := l.Jobs["j-1"]
 	j.Spec.EstimateS = 10
 	l.Describe(l.Machine("m"), "g8", "z", false)
@@ -24,57 +24,57 @@
 		if p.Inherited {
 			p.RunSince = e.now - time.Second
 		}
-		l.Ran(p)
+		l.LearnRunTime(p)
 	}
 	if f := j.EstimateS(); f < 19 || f > 21 {
-		t.Errorf("the estimate of 10 s is taken for %v s, the runs seen in whole took 20", f)
+		t.Errorf("corrected estimate is %v s, want about 20 s: the complete runs took 20 s", f)
 	}
 }
 
-// TestServiceRecords guards versions of services from being taken for ordinary jobs:
-// their records have a format that older programs refuse, and none of their tasks
-// is wanted until the service's record says so. Older records are read as before.
+// TestServiceRecords guards against treating versions of services as ordinary jobs: their records
+// must have a format that older programs refuse, and none of their tasks may be wanted until the
+// service's record says so. Older records must still be read.
 func TestServiceRecords(t *testing.T) {
 	r := NewRecord(spec("j-2", 3), 0, "", 50)
-	r.OfService("shop")
-	if r.V <= Format {
-		t.Errorf("format %d would be read by programs that know no services", r.V)
+	r.SetService("shop")
+	if r.V <= RecordFormat {
+		t.Errorf("format %d would be read by programs without support for services", r.V)
 	}
-	_, l := start(t, map[string]string{JobKey("j-1"): record("j-1", 3, 50, Open), JobKey("j-2"): string(r.Encode()),
+	_, l := newTestLedger(t, map[string]string{JobKey("j-1"): record("j-1", 3, 50, Open), JobKey("j-2"): string(r.Encode()),
 		JobKey("j-3"): `{"v":3,"at":0,"k":1,"s":{"k":0}}`})
 	if j := l.Jobs["j-1"]; j.Idle() != 3 || j.Service != "" {
-		t.Errorf("a job of format %d has %d idle tasks", Format, j.Idle())
+		t.Errorf("a job of format %d has %d idle tasks", RecordFormat, j.Idle())
 	}
 	j := l.Jobs["j-2"]
 	if j.Idle() != 0 || j.Service != "shop" {
-		t.Errorf("%d tasks of a version nobody asked for yet want a machine", j.Idle())
+		t.Errorf("%d idle tasks of a version that is not wanted yet", j.Idle())
 	}
 	if l.Jobs["j-3"] != nil {
-		t.Error("a record of format 3 without a service was read")
+		t.Error("record of format 3 without a service was read")
 	}
 	l.SetWanted(j, func(i int) bool { return i == 1 })
 	m := l.Machine("m")
 	l.Describe(m, "g8", "z", false)
 	p := l.Plan(j, 1, 1, m)
 	l.SetWanted(j, func(i int) bool { return i != 1 })
-	if j.Idle() != 2 || j.Placed != 1 || j.Size() != 3 {
+	if j.Idle() != 2 || j.Placed != 1 || j.WantedTasks() != 3 {
 		t.Errorf("%d idle, %d placed", j.Idle(), j.Placed)
 	}
-	l.Lost(p, "gone")
-	if j.Idle() != 2 || j.Placed != 0 || j.Size() != 2 {
-		t.Errorf("%d idle, %d placed after the end of what isn't wanted", j.Idle(), j.Placed)
+	l.MarkLost(p, "gone")
+	if j.Idle() != 2 || j.Placed != 0 || j.WantedTasks() != 2 {
+		t.Errorf("%d idle, %d placed after the end of the unwanted task", j.Idle(), j.Placed)
 	}
 	j.Port, j.PerTask = 8000, true
 	other := l.Jobs["j-1"]
 	other.Port = 8002
 	l.Plan(other, 0, 1, m)
-	if j.PortFree(2, m) || !j.PortFree(1, m) || !j.MayListen(m) || other.PortFree(1, m) {
-		t.Error("ports on one machine are mixed up")
+	if j.PortFree(2, m) || !j.PortFree(1, m) || !j.AnyPortFree(m) || other.PortFree(1, m) {
+		t.Error("wrong free ports on a machine with tasks of two jobs")
 	}
 }
 
-// fleetLedger has 10,400 live tasks on 1,300 machines.
-func fleetLedger(b *testing.B) (*env, *Ledger) {
+// loadedTestLedger returns a ledger with 10,400 live tasks on 1,300 machines.
+func loadedTestLedger(b *testing.B) (*env, *Ledger) {
 	items := map[string]string{}
 	for i := range 104 {
 		id := fmt.Sprintf("j-%d", i)
@@ -87,23 +87,23 @@
 			items[ChunkKey(id, c)] = fmt.Sprintf(`{"v":2,"t":%q}`, strings.Join(places, " "))
 		}
 	}
-	e, l := start(b, items)
+	e, l := newTestLedger(b, items)
 	for i := range 1300 {
 		l.Describe(l.Machine(fmt.Sprintf("vm-%06d", i)), "g8", "z", false)
 	}
 	return e, l
 }
 
-// benchmarkTasks starts and ends jobs, and times the one or the other: all that
-// the ledger does, the state service's stand-in included, per task.
+// benchmarkTasks starts and ends jobs, and measures either the starts or the ends: the time per
+// task in the ledger and in the state service's stand-in.
 func benchmarkTasks(b *testing.B, tasks int, ends bool) {
-	e, l := fleetLedger(b)
+	e, l := loadedTestLedger(b)
 	n := 0
 	b.ReportAllocs()
 	settle := func() {
 		for range 4 {
 			e.run(500 * time.Millisecond)
-			l.Kick()
+			l.FlushPending()
 		}
 	}
 	b.ResetTimer()
@@ -112,7 +112,7 @@
 		n++
 		id := fmt.Sprintf("j-9%06d", n)
 		e.epoch++
-		l.JobEvent(JobKey(id), &statestore.Item{Value: []byte(record(id, tasks, 48, Open)), Stamp: e.epoch})
+		l.ApplyJobRecord(JobKey(id), &statestore.Item{Value: []byte(record(id, tasks, 48, Open)), Stamp: e.epoch})
 		j := l.Jobs[id]
 		e.txns = nil
 		if !ends {
@@ -122,15 +122,15 @@
 			l.Plan(j, i, 1, l.Machine(fmt.Sprintf("vm-%06d", (n*tasks+i)%1300)))
 		}
 		settle()
-		if j.Tasks[0].P == nil || !j.Tasks[0].P.Durable {
-			b.Fatal("a start isn't durable")
+		if j.Tasks[0].CurrentPlacement == nil || !j.Tasks[0].CurrentPlacement.Durable {
+			b.Fatal("start is not durable")
 		}
 		b.StopTimer()
 		if ends {
 			b.StartTimer()
 		}
 		for i := range j.Tasks {
-			l.Finished(j, i)
+			l.MarkFinished(j, i)
 		}
 		settle()
 		b.StopTimer()
@@ -138,33 +138,33 @@
 			settle()
 		}
 		if l.Jobs[id] != nil && l.Jobs[id].Final != Done {
-			b.Fatal("a job doesn't end")
+			b.Fatal("job does not end")
 		}
 		b.StartTimer()
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*tasks), "us/task")
 }
 
-// BenchmarkStart measures what the starts of a job cost in the ledger and on their
-// way to the state service, at fleet size.
+// BenchmarkStart measures the cost of a job's starts in the ledger and in requests to the state
+// service, with a large number of machines.
 func BenchmarkStart(b *testing.B) {
 	for _, n := range []int{1, 8, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkTasks(b, n, false) })
 	}
 }
 
-// BenchmarkEnd measures what the ends of a job's tasks cost, to the durable end of
-// the job and the deletion of its chunks.
+// BenchmarkEnd measures the cost of the ends of a job's tasks, until the job's end is durable and
+// its chunks are deleted.
 func BenchmarkEnd(b *testing.B) {
 	for _, n := range []int{1, 8, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkTasks(b, n, true) })
 	}
 }
 
-// BenchmarkLoad measures the picture that a new leader builds from its replica:
-// 10,400 tasks on 1,300 machines, and ten times as many.
+// BenchmarkLoad measures how long a new leader takes to load 10,400 tasks on 1,300 machines from
+// its replica.
 func BenchmarkLoad(b *testing.B) {
-	e, l := fleetLedger(b)
+	e, l := loadedTestLedger(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		x := New(e, l.store, 4, nil)
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -11,34 +11,33 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// The layout of our keys: one record a job, and the states of its tasks in
-// chunks, since values are small and arrays are long.
+// The layout of the stored keys: one record per job, and the states of its tasks in chunks,
+// since the size of values is limited and arrays are long.
 const (
 	JobPrefix   = statestore.Prefix + "j/"
 	ChunkPrefix = statestore.Prefix + "t/"
-	// Format is the version of the records written. Version 1 had 48 tasks in
-	// every chunk; it is read, too.
-	Format = 2
-	// ServiceFormat is the version of records of jobs that are versions of a
-	// service. A program that knows no roll-outs must not take them for jobs whose
-	// tasks are all to be started: it leaves them alone.
+	// RecordFormat is the version of ordinary records. Version 1, which is still read, had 48
+	// tasks in every chunk.
+	RecordFormat = 2
+	// ServiceFormat is the version of records of jobs that are versions of a service. Programs
+	// without support for roll-outs must ignore them, and not start all their tasks.
 	ServiceFormat = 3
-	// UnitsFormat is the version of records of jobs that ask for counted resources,
-	// which programs that don't count must not start.
+	// UnitsFormat is the version of records of jobs that request counted resources. Programs
+	// without support for these must not start them.
 	UnitsFormat = 4
 )
 
-// Tasks in a chunk. A task's state rarely takes more than taskBytes: the number
-// of the attempt and the name of a machine. Where names are longer, placements
-// wait until there is room in the value (Ledger.flush).
+// Sizes for the number of tasks in a chunk. A task's state consists of an attempt number and a
+// machine name, and rarely takes more than taskStateBytes. If names are longer, placements wait
+// until the value has room (see Ledger.shrink).
 const (
-	oldChunkTasks = 48 // of records that don't say
-	taskBytes     = 32
-	chunkExtra    = 400 // what a chunk holds besides
+	format1TasksPerChunk = 48 // for records without a chunk size
+	taskStateBytes       = 32
+	chunkOverheadBytes   = 400 // the rest of a chunk's value
 )
 
-// ChunkTasks is how many tasks a chunk holds where values have a limit.
-func ChunkTasks(valueBytes int) int { return max(1, (valueBytes-chunkExtra)/taskBytes) }
+// TasksPerChunk returns how many tasks a chunk holds if values are limited to valueBytes.
+func TasksPerChunk(valueBytes int) int { return max(1, (valueBytes-chunkOverheadBytes)/taskStateBytes) }
 
 // Final phases of a job record.
 const (
@@ -47,27 +46,29 @@
 	Cancelled = "cancelled"
 )
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of a job's record.
 func JobKey(id string) string { return JobPrefix + id }
 
-// ChunkKey is the key of a chunk of a job's tasks.
+// ChunkKey returns the key of a chunk of a job's tasks.
 func ChunkKey(id string, n int) string { return ChunkPrefix + id + "/" + strconv.Itoa(n) }
 
-// JobRecord is what the state service keeps of a job.
+// JobRecord is the stored record of a job.
 type JobRecord struct {
-	V     int         `json:"v"`
-	Final string      `json:"f,omitempty"`
-	At    int64       `json:"at"` // ms of the time of day at acceptance
-	Nonce string      `json:"n,omitempty"`
-	Why   string      `json:"w,omitempty"`
-	Tasks int         `json:"k"`
-	Chunk int         `json:"c,omitempty"` // tasks in a chunk
-	Spec  *specRecord `json:"s,omitempty"`
+	V              int         `json:"v"`
+	Final          string      `json:"f,omitempty"`
+	AcceptedUnixMS int64       `json:"at"` // time of acceptance, in ms since the Unix epoch
+	Nonce          string      `json:"n,omitempty"`
+	Why            string      `json:"w,omitempty"`
+	Tasks          int         `json:"k"`
+	TasksPerChunk  int         `json:"c,omitempty"`
+	Spec           *specRecord `json:"s,omitempty"`
 	// Service is the name of the service that the job is a version of.
 	Service string      `json:"svc,omitempty"`
 	spec    *model.Spec `json:"-"`
 }
 
+// specRecord is the stored form of a model.Spec. One stands for OneZone, Apart for Spread, Due
+// for DeadlineS, and Any for no restriction of machine types.
 type specRecord struct {
 	Class string       `json:"c"`
 	Team  string       `json:"t"`
@@ -91,33 +92,32 @@
 	Units []unitRecord `json:"u,omitempty"`
 }
 
-// unitRecord is what a job asks of a counted resource.
+// unitRecord is the stored request of a job for a counted resource.
 type unitRecord struct {
-	Name string `json:"n"`
-	N    int    `json:"k"`
-	Job  bool   `json:"j,omitempty"`
+	Name     string `json:"n"`
+	Quantity int    `json:"k"`
+	Job      bool   `json:"j,omitempty"`
 }
 
-// NewRecord is the record of a job just accepted, its tasks in chunks of the
-// given size.
-func NewRecord(s *model.Spec, atMS int64, nonce string, chunk int) *JobRecord {
+// NewRecord returns the record of a job that was just accepted.
+func NewRecord(s *model.Spec, atMS int64, nonce string, tasksPerChunk int) *JobRecord {
 	var units []unitRecord
-	v := Format
+	v := RecordFormat
 	for _, u := range s.Units {
 		v = UnitsFormat
-		units = append(units, unitRecord{u.Name, u.N, u.PerJob})
+		units = append(units, unitRecord{u.Name, u.Quantity, u.PerJob})
 	}
-	return &JobRecord{V: v, At: atMS, Nonce: nonce, Tasks: s.Tasks, Chunk: chunk, Spec: &specRecord{
+	return &JobRecord{V: v, AcceptedUnixMS: atMS, Nonce: nonce, Tasks: s.Tasks, TasksPerChunk: tasksPerChunk, Spec: &specRecord{
 		Class: s.Class, Team: s.Team, Kind: uint8(s.Kind), Prio: uint8(s.Priority),
-		CPUs: s.Need.CPUs, GPUs: s.Need.GPUs, Mem: s.Need.MemGB, Image: s.Image, GB: s.ImageGB,
+		CPUs: s.Resources.CPUs, GPUs: s.Resources.GPUs, Mem: s.Resources.MemGB, Image: s.Image, GB: s.ImageGB,
 		Any: s.Types == nil, Types: s.Types, Zone: s.Zone, One: s.OneZone, Apart: s.Spread, Spot: s.Spot,
 		Est: s.EstimateS, Ckpt: s.CheckpointS, Save: s.SaveS, Due: s.DeadlineS, Units: units}}
 }
 
-// OfService makes the job a version of a service.
-func (r *JobRecord) OfService(name string) { r.V, r.Service = max(r.V, ServiceFormat), name }
+// SetService makes the job a version of a service.
+func (r *JobRecord) SetService(name string) { r.V, r.Service = max(r.V, ServiceFormat), name }
 
-// Encode makes the value of the record.
+// Encode returns the stored form of the record.
 func (r *JobRecord) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -126,8 +126,8 @@
 	return b
 }
 
-// DecodeRecord reads a job record. A record that can't be read is an error,
-// never an absent job.
+// DecodeRecord decodes a job record. A record that can't be read is an error and must not be
+// treated as an absent job.
 func DecodeRecord(id string, b []byte) (*JobRecord, error) {
 	var r JobRecord
 	if err := json.Unmarshal(b, &r); err != nil {
@@ -136,25 +136,25 @@
 	if r.V < 1 || r.V > UnitsFormat || r.V == ServiceFormat && r.Service == "" || r.V == UnitsFormat && r.Final == Open && (r.Spec == nil || len(r.Spec.Units) == 0) {
 		return nil, fmt.Errorf("job record %s: format %d is not known here", id, r.V)
 	}
-	if r.Chunk == 0 {
-		r.Chunk = oldChunkTasks
+	if r.TasksPerChunk == 0 {
+		r.TasksPerChunk = format1TasksPerChunk
 	}
-	if r.Chunk < 1 || r.Tasks < 1 {
-		return nil, fmt.Errorf("job record %s: %d tasks in chunks of %d", id, r.Tasks, r.Chunk)
+	if r.TasksPerChunk < 1 || r.Tasks < 1 {
+		return nil, fmt.Errorf("job record %s: %d tasks in chunks of %d", id, r.Tasks, r.TasksPerChunk)
 	}
 	if r.Final == Open && r.Spec == nil {
 		return nil, fmt.Errorf("job record %s: no description", id)
 	}
 	if s := r.Spec; s != nil {
 		r.spec = &model.Spec{ID: id, Class: s.Class, Team: s.Team, Kind: model.Kind(s.Kind), Priority: model.Priority(s.Prio),
-			Tasks: r.Tasks, Need: model.Need{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.Mem}, Image: s.Image, ImageGB: s.GB,
+			Tasks: r.Tasks, Resources: model.Resources{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.Mem}, Image: s.Image, ImageGB: s.GB,
 			Types: s.Types, Zone: s.Zone, OneZone: s.One, Spread: s.Apart, Spot: s.Spot,
 			EstimateS: s.Est, CheckpointS: s.Ckpt, SaveS: s.Save, DeadlineS: s.Due}
 		for _, u := range s.Units {
-			if u.N < 1 || u.Name == "" {
-				return nil, fmt.Errorf("job record %s: %d units of %q", id, u.N, u.Name)
+			if u.Quantity < 1 || u.Name == "" {
+				return nil, fmt.Errorf("job record %s: %d units of %q", id, u.Quantity, u.Name)
 			}
-			r.spec.Units = append(r.spec.Units, model.UnitAsk{Name: u.Name, N: u.N, PerJob: u.Job})
+			r.spec.Units = append(r.spec.Units, model.UnitRequest{Name: u.Name, Quantity: u.Quantity, PerJob: u.Job})
 		}
 		if !s.Any && s.Types == nil {
 			r.spec.Types = []string{}
@@ -163,28 +163,29 @@
 	return &r, nil
 }
 
-// JobSpec is the description, nil for a job that is over.
+// JobSpec returns the job's description. It is nil if the record has none, as for a completed
+// job.
 func (r *JobRecord) JobSpec() *model.Spec { return r.spec }
 
-// Chunks is how many chunks the job's tasks take.
-func (r *JobRecord) Chunks() int { return (r.Tasks + r.Chunk - 1) / r.Chunk }
+// Chunks returns the number of chunks that hold the job's tasks.
+func (r *JobRecord) Chunks() int { return (r.Tasks + r.TasksPerChunk - 1) / r.TasksPerChunk }
 
 type chunkRecord struct {
-	V int    `json:"v"`
-	T string `json:"t"`           // states of the tasks, see encodeTasks
-	W string `json:"w,omitempty"` // why a task last stopped
+	V          int    `json:"v"`
+	TaskStates string `json:"t"`           // states of the tasks, see Ledger.encodeChunk
+	Why        string `json:"w,omitempty"` // why a task last stopped
 }
 
-// taskState is a task as recorded: done, or with the number of its last
-// attempt and the machine it was given to.
+// taskState is the recorded state of a task: done, or the number of its last attempt and, while
+// it is placed, its machine.
 type taskState struct {
 	done    bool
 	attempt uint64
 	machine string
 }
 
-func (c *chunkRecord) states() ([]taskState, error) {
-	words := strings.Fields(c.T)
+func (c *chunkRecord) parseTaskStates() ([]taskState, error) {
+	words := strings.Fields(c.TaskStates)
 	out := make([]taskState, 0, len(words))
 	for _, w := range words {
 		if w == "d" {
@@ -206,19 +207,19 @@
 	if err := json.Unmarshal(b, &c); err != nil {
 		return nil, "", fmt.Errorf("chunk %s: %w", key, err)
 	}
-	if c.V < 1 || c.V > Format {
+	if c.V < 1 || c.V > RecordFormat {
 		return nil, "", fmt.Errorf("chunk %s: format %d is not known here", key, c.V)
 	}
-	st, err := c.states()
+	st, err := c.parseTaskStates()
 	if err != nil {
 		return nil, "", fmt.Errorf("chunk %s: %w", key, err)
 	}
-	return st, c.W, nil
+	return st, c.Why, nil
 }
 
-// CountChunk tells for display how many tasks of a recorded chunk are done and
-// how many have a machine.
-func CountChunk(key string, b []byte) (done, placed int, why string, err error) {
+// CountChunkTasks returns, for display, how many tasks of a recorded chunk are done and how many
+// have a machine.
+func CountChunkTasks(key string, b []byte) (done, placed int, why string, err error) {
 	st, why, err := decodeChunk(key, b)
 	for _, s := range st {
 		if s.done {
@@ -230,19 +231,19 @@
 	return done, placed, why, err
 }
 
-// TaskPlace is where a recorded task is.
-type TaskPlace struct {
+// RecordedTask is the recorded state of a task, with its machine if it is placed.
+type RecordedTask struct {
 	Done    bool
 	Attempt uint64
 	Machine string
 }
 
-// ChunkMachines tells where a recorded chunk's tasks are.
-func ChunkMachines(key string, b []byte) ([]TaskPlace, error) {
+// DecodeChunkTasks returns the states of a recorded chunk's tasks.
+func DecodeChunkTasks(key string, b []byte) ([]RecordedTask, error) {
 	st, _, err := decodeChunk(key, b)
-	out := make([]TaskPlace, len(st))
+	out := make([]RecordedTask, len(st))
 	for i, s := range st {
-		out[i] = TaskPlace{s.done, s.attempt, s.machine}
+		out[i] = RecordedTask{s.done, s.attempt, s.machine}
 	}
 	return out, err
 }
--- a/internal/ledger/units.go
+++ b/internal/ledger/units.go
@@ -7,76 +7,77 @@
 	"brooklb/internal/units"
 )
 
-// ask is what a job asks of a counted resource, by its dense index.
-type ask struct {
-	i, n   int
-	perJob bool
+// unitRequest is a job's request for n units of a counted resource, given by its index in the
+// term's units.Book.
+type unitRequest struct {
+	resource, n int
+	perJob      bool
 }
 
-// resolve finds the resources that a job asks for.
-func (l *Ledger) resolve(j *Job) {
+// resolveUnits finds the counted resources that a job requests.
+func (l *Ledger) resolveUnits(j *Job) {
 	for _, u := range j.Spec.Units {
 		i := l.Units.Index(u.Name)
 		l.Units.All[i].Asked++
-		j.asks = append(j.asks, ask{i, u.N, u.PerJob})
+		j.unitRequests = append(j.unitRequests, unitRequest{i, u.Quantity, u.PerJob})
 	}
 }
 
-// takeUnits gives a new placement its units. They are held like its room: from the
-// plan, before anybody is told of it, to the proof that it is gone.
-func (l *Ledger) takeUnits(p *Placement) {
+// acquireUnits allocates the units of a new placement. Like its machine's resources, they are
+// held from the time it is planned until it is proven gone.
+func (l *Ledger) acquireUnits(p *Placement) {
 	j := p.Job
-	for _, u := range j.asks {
-		r := l.Units.All[u.i]
-		if j.Begun == 1 && j.Placed == 1 && !p.Inherited {
-			r.Waited(l.env.Now() - j.Since)
+	for _, u := range j.unitRequests {
+		r := l.Units.All[u.resource]
+		if j.EverPlaced == 1 && j.Placed == 1 && !p.Inherited {
+			r.Waited(l.env.Now() - j.AcceptedAt)
 		}
 		switch {
 		case !u.perJob:
 			r.Take(p, j.Spec.Team, j.Spec.Priority, u.n)
-		case j.Placed == 1: // its first
+		case j.Placed == 1: // its first placement
 			r.Take(j, j.Spec.Team, j.Spec.Priority, u.n)
 		}
 	}
 }
 
-// giveUnits takes the units of a placement back that is proven gone.
-func (l *Ledger) giveUnits(p *Placement) {
+// releaseUnits frees the units of a placement that is proven gone.
+func (l *Ledger) releaseUnits(p *Placement) {
 	j := p.Job
-	for _, u := range j.asks {
-		r := l.Units.All[u.i]
+	for _, u := range j.unitRequests {
+		r := l.Units.All[u.resource]
 		switch {
 		case !u.perJob:
 			r.Give(p, j.Spec.Team, j.Spec.Priority)
-		case j.Placed == 0: // its last
+		case j.Placed == 0: // its last placement
 			r.Give(j, j.Spec.Team, j.Spec.Priority)
 		}
 	}
 }
 
-// Over reports whether more is held than there is of something that the placement
-// holds, too: of its team's limit or of a counted resource.
-func (l *Ledger) Over(p *Placement) bool {
+// OverLimit reports whether the placement's team exceeds its limit, or whether more units are
+// held than exist of a counted resource that its job requests.
+func (l *Ledger) OverLimit(p *Placement) bool {
 	j := p.Job
-	if t := l.Teams[j.Spec.Team]; t != nil && !t.Within(model.Need{}) {
+	if t := l.Teams[j.Spec.Team]; t != nil && !t.WithinLimit(model.Resources{}) {
 		return true
 	}
-	for _, u := range j.asks {
-		if r := l.Units.All[u.i]; r.Used > r.There() {
+	for _, u := range j.unitRequests {
+		if r := l.Units.All[u.resource]; r.Used > r.There() {
 			return true
 		}
 	}
 	return false
 }
 
-// Asks reports whether the job asks for counted resources.
-func (j *Job) Asks() bool { return len(j.asks) > 0 }
+// RequestsUnits reports whether the job requests counted resources.
+func (j *Job) RequestsUnits() bool { return len(j.unitRequests) > 0 }
 
-// UnitsFor is how many more of the job's tasks there are units for now.
-func (l *Ledger) UnitsFor(j *Job) int {
+// TasksWithinUnits returns for how many more of the job's tasks units are free now.
+func (l *Ledger) TasksWithinUnits(j *Job) int {
 	n := math.MaxInt32
-	for _, u := range j.asks {
-		free := l.Units.All[u.i].Free(j.Spec.Team, j.Spec.Priority)
+	for _, u := range j.unitRequests {
+		free := l.Units.All[u.resource].Free(j.Spec.Team, j.Spec.Priority)
 		switch {
 		case u.perJob && j.Placed > 0:
 		case u.perJob:
@@ -90,11 +91,11 @@
 	return n
 }
 
-// Short is the first resource of which there are not units enough for n more tasks
-// of the job, and how many it would need; nil if there are of all.
-func (l *Ledger) Short(j *Job, n int) (r *units.Resource, need int) {
-	for _, u := range j.asks {
-		x, need := l.Units.All[u.i], u.n*n
+// FirstShortage returns the first counted resource that has too few free units for n more tasks
+// of the job, and how many units they need. It returns nil if all have enough.
+func (l *Ledger) FirstShortage(j *Job, n int) (r *units.Resource, need int) {
+	for _, u := range j.unitRequests {
+		x, need := l.Units.All[u.resource], u.n*n
 		if u.perJob {
 			if j.Placed > 0 {
 				continue
@@ -108,24 +109,25 @@
 	return nil, 0
 }
 
-// Each calls f for every resource that n more tasks of the job take units of.
-func (l *Ledger) Each(j *Job, n int, f func(r *units.Resource, need int)) {
-	for _, u := range j.asks {
+// EachUnitNeed calls f for every counted resource of which n more tasks of the job need units.
+func (l *Ledger) EachUnitNeed(j *Job, n int, f func(r *units.Resource, need int)) {
+	for _, u := range j.unitRequests {
 		switch {
 		case !u.perJob:
-			f(l.Units.All[u.i], u.n*n)
+			f(l.Units.All[u.resource], u.n*n)
 		case j.Placed == 0:
-			f(l.Units.All[u.i], u.n)
+			f(l.Units.All[u.resource], u.n)
 		}
 	}
 }
 
-// SomeUnits is for how many of n tasks there would be units if what use has were
-// taken, which it adds: machines for tasks that wait for units would stand idle.
-func (l *Ledger) SomeUnits(j *Job, n int, use map[*units.Resource]int) int {
+// AllotUnits returns for how many of n tasks units would be free if the units in use were taken,
+// and adds the units of these tasks to use. Machines are wanted only for these tasks: a machine
+// for a task that waits for units would stand idle.
+func (l *Ledger) AllotUnits(j *Job, n int, use map[*units.Resource]int) int {
 	wanted := n
-	for _, u := range j.asks {
-		r := l.Units.All[u.i]
+	for _, u := range j.unitRequests {
+		r := l.Units.All[u.resource]
 		free := r.Free(j.Spec.Team, j.Spec.Priority) - use[r]
 		switch {
 		case !u.perJob:
@@ -138,7 +140,7 @@
 		n = 0
 	}
 	if n > 0 {
-		l.Each(j, n, func(r *units.Resource, need int) { use[r] += need })
+		l.EachUnitNeed(j, n, func(r *units.Resource, need int) { use[r] += need })
 	}
 	return n
 }
--- a/internal/ledger/write.go
+++ b/internal/ledger/write.go
@@ -13,57 +13,59 @@
 	"brooklb/internal/wire"
 )
 
-// touch marks a task's record as changed.
-func (l *Ledger) touch(j *Job, task int, urgent bool) {
-	c := &j.chunks[task/j.per]
+// markDirty marks a task's chunk as changed. A chunk is urgent if it holds a placement that
+// waits to be started.
+func (l *Ledger) markDirty(j *Job, task int, urgent bool) {
+	c := &j.chunks[task/j.tasksPerChunk]
 	c.urgent = c.urgent || urgent
 	if !c.dirty {
 		c.dirty = true
-		c.since = l.env.Now()
-		l.dirty = append(l.dirty, dirtyRef{j, task / j.per})
+		c.dirtySince = l.env.Now()
+		l.dirty = append(l.dirty, dirtyChunk{j, task / j.tasksPerChunk})
 	}
-	l.soon()
+	l.scheduleFlush()
 }
 
-// soon lets the changes of one step gather into one transaction.
-func (l *Ledger) soon() { l.wait(2 * time.Millisecond) }
+// scheduleFlush schedules a flush after a short delay, so that the changes of one step go
+// into one transaction.
+func (l *Ledger) scheduleFlush() { l.flushAfter(2 * time.Millisecond) }
 
-func (l *Ledger) wait(d time.Duration) {
-	if l.resting == nil && !l.stopped {
-		l.resting = l.env.After(d, func() { l.resting = nil; l.flush() })
+func (l *Ledger) flushAfter(d time.Duration) {
+	if l.flushTimer == nil && !l.closed {
+		l.flushTimer = l.env.After(d, func() { l.flushTimer = nil; l.flush() })
 	}
 }
 
-// Clean reports whether everything known of the task is durable. Of a job that
-// is over nothing else matters.
-func (j *Job) Clean(task int) bool {
-	c := &j.chunks[task/j.per]
+// TaskDurable reports whether the latest state of the task is durable. For a job that is
+// over it always returns true, since its end supersedes the states of its tasks.
+func (j *Job) TaskDurable(task int) bool {
+	c := &j.chunks[task/j.tasksPerChunk]
 	return j.Final != Open || !c.dirty && !c.inFlight
 }
 
-// Unwritten reports whether the machine's worker holds results that are not
-// durable yet.
-func (l *Ledger) Unwritten(m *Machine) bool {
-	for _, t := range m.Ended {
-		if j := l.Jobs[t.Job]; j != nil && t.Cause == model.CauseDone && t.Task < len(j.Tasks) && !j.Clean(t.Task) {
+// HasUnwrittenResults reports whether the machine's worker has completed tasks whose
+// completion is not durable yet.
+func (l *Ledger) HasUnwrittenResults(m *Machine) bool {
+	for _, t := range m.EndedTasks {
+		if j := l.Jobs[t.Job]; j != nil && t.Cause == model.CauseDone && t.Task < len(j.Tasks) && !j.TaskDurable(t.Task) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkEnd puts a job whose tasks are all done in the queue of ends.
+// checkEnd queues the final record of a job whose tasks are all done.
 func (l *Ledger) checkEnd(j *Job) {
-	if j.Final == Open && !j.ending && !j.broken && j.NDone == len(j.Tasks) && j.Placed == 0 && j.Spec.Kind != model.Service {
-		j.ending = true
-		l.ends = append(l.ends, j)
-		l.soon()
+	if j.Final == Open && !j.endQueued && !j.unreadable && j.DoneTasks == len(j.Tasks) && j.Placed == 0 && j.Spec.Kind != model.Service {
+		j.endQueued = true
+		l.unwrittenEnds = append(l.unwrittenEnds, j)
+		l.scheduleFlush()
 	}
 }
 
 func (l *Ledger) encodeChunk(j *Job, n int) []byte {
 	var sb strings.Builder
-	for i := n * j.per; i < min(len(j.Tasks), (n+1)*j.per); i++ {
+	for i := n * j.tasksPerChunk; i < min(len(j.Tasks), (n+1)*j.tasksPerChunk); i++ {
 		t := &j.Tasks[i]
 		if sb.Len() > 0 {
 			sb.WriteByte(' ')
@@ -71,45 +73,46 @@
 		switch {
 		case t.Done:
 			sb.WriteByte('d')
-		case t.P != nil:
-			sb.WriteString(strconv.FormatUint(t.P.Attempt, 10))
+		case t.CurrentPlacement != nil:
+			sb.WriteString(strconv.FormatUint(t.CurrentPlacement.Attempt, 10))
 			sb.WriteByte('@')
-			sb.WriteString(t.P.M.Name)
+			sb.WriteString(t.CurrentPlacement.Host.Name)
 		default:
 			sb.WriteString(strconv.FormatUint(t.Attempt, 10))
 		}
 	}
-	why := j.Why
+	why := j.StopReason
 	if len(why) > 160 {
 		why = why[:160]
 	}
-	return wire.Encode(chunkRecord{V: Format, T: sb.String(), W: why})
+	return wire.Encode(chunkRecord{V: RecordFormat, TaskStates: sb.String(), Why: why})
 }
 
-type flight struct {
-	job    *Job
-	n      int // chunk; -1: the job's end
-	key    string
-	placed []*Placement
-	drop   bool
+// pendingChange is one change of the transaction that is in flight. Deletions of orphaned
+// chunks have no job.
+type pendingChange struct {
+	job      *Job
+	chunk    int // index of the chunk; -1: the job's final record
+	key      string
+	placed   []*Placement
+	deletion bool
 }
 
-// Changes counts what the term has written to the state service, by what it is
-// for. Each kind but Tasks is in changes, of which the service takes only so many
-// a second.
+// Changes counts the changes that the term has written to the state service, by their
+// purpose. Each field except Tasks counts changes, which the service limits per second.
 type Changes struct {
 	Starts int // chunks with placements to start
-	Tasks  int // the placements in them
-	Ends   int // jobs that are done
-	Marks  int // chunks that only say what is done or idle
+	Tasks  int // placements in those chunks
+	Ends   int // final records of completed jobs
+	Marks  int // chunks that record only done or idle tasks
 	Drops  int // deletions of chunks
 }
 
-func (c *Changes) count(f *flight) {
+func (c *Changes) count(f *pendingChange) {
 	switch {
-	case f.job == nil || f.drop:
+	case f.job == nil || f.deletion:
 		c.Drops++
-	case f.n < 0:
+	case f.chunk < 0:
 		c.Ends++
 	case len(f.placed) > 0:
 		c.Starts++
@@ -120,114 +123,117 @@
 }
 
 const (
-	// Starts nobody waits impatiently for gather for this long: the next ones
-	// of the same job are then in the same change.
-	gatherFor = 400 * time.Millisecond
-	// Marks that only spare work after a failure gather for this long, and are
-	// written whether the budget has room to spare or not after lazyFor.
-	markAfter = 5 * time.Second
-	lazyFor   = 15 * time.Second
-	// The part of the budget that is kept for what somebody waits for, and the
-	// changes that are left for users who come to this node.
-	lazyKeep   = 0.5
-	userWrites = 3
-	// Ranks from here on are written from the spare part of the budget only.
-	lazyRank = 10
+	// Starts below high priority are delayed for this time, so that later starts of the
+	// same job share a change.
+	startGatherTime = 400 * time.Millisecond
+	// Chunks without starts only save repeated work after a failure. They are delayed for
+	// markGatherTime. After maxMarkDelay they no longer wait for spare budget.
+	markGatherTime = 5 * time.Second
+	maxMarkDelay   = 15 * time.Second
+	// reservedBurstShare is the share of the write burst that deferrable changes leave for
+	// starts and ends. reservedUserWrites is the number of changes left for requests of
+	// users at this node.
+	reservedBurstShare = 0.5
+	reservedUserWrites = 3
+	// Chunks of this rank or a later one are written only from the spare budget.
+	deferrableRank = 10
 )
 
-// rank orders what is to be written by what people wait for: starts of higher
-// priority, other starts, then what is merely in the way, then what only spares
-// work after a failure. ok is false while it may gather more.
-func (l *Ledger) rank(d dirtyRef, now time.Duration) (rank int, ok bool) {
-	c := &d.job.chunks[d.n]
-	age := now - c.since
+// rank returns the position of a chunk in the order of writing; lower ranks go first. The
+// order is: starts by descending priority, chunks that have waited for maxMarkDelay, deletions
+// of chunks of jobs that are over, other chunks. ok is false while the chunk should wait for
+// further changes.
+func (l *Ledger) rank(d dirtyChunk, now time.Duration) (rank int, ok bool) {
+	c := &d.job.chunks[d.chunk]
+	age := now - c.dirtySince
 	prio := d.job.Spec.Priority
 	switch {
 	case d.job.Final != Open:
-		return lazyRank, true
+		return deferrableRank, true
 	case c.urgent:
-		return int(model.Production - prio), prio >= model.High || age >= gatherFor
-	case age > lazyFor:
+		return int(model.Production - prio), prio >= model.High || age >= startGatherTime
+	case age > maxMarkDelay:
 		return int(model.Production) + 1, true
 	}
-	return lazyRank + 1, age >= markAfter
+	return deferrableRank + 1, age >= markGatherTime
 }
 
-// Behind is how many seconds of our changes are waiting to be written: ends of jobs,
-// and placements of the given priority or above that may be started once they are.
-func (l *Ledger) Behind(least model.Priority) float64 {
-	return max(0, float64(l.backlog(least))-max(0, l.spendable())) / max(0.1, l.store.WriteRate())
+// WriteBacklogS returns how many seconds the state service's write rate needs for the waiting
+// changes that exceed the current allowance. It counts the ends of jobs, and the chunks with
+// starts of the given priority or above.
+func (l *Ledger) WriteBacklogS(least model.Priority) float64 {
+	return max(0, float64(l.urgentBacklog(least))-max(0, l.writeAllowance())) / max(0.1, l.store.WriteRate())
 }
 
-// spendable is how many changes flush may make now: a few are left to users. Behind has
-// to count the same, or a leader whose bucket held those few called itself not behind,
-// left all that came in to its door, and wrote nothing for 3 s (sim.TestFloods/leader).
-func (l *Ledger) spendable() float64 {
-	return l.store.WriteRoom() - min(userWrites, l.store.WriteBurst()/4)
+// writeAllowance returns how many changes flush may make now, without those reserved for
+// users. WriteBacklogS must use the same number: otherwise a leader whose bucket held only
+// the reserved changes reported no backlog, gave all new budget to submissions, and wrote
+// nothing for 3 s.
+func (l *Ledger) writeAllowance() float64 {
+	return l.store.WriteRoom() - min(reservedUserWrites, l.store.WriteBurst()/4)
 }
 
-// backlog counts the ends, and the chunks with starts of the given priority or above,
-// that are to be written.
-func (l *Ledger) backlog(least model.Priority) int {
-	n := len(l.ends)
+// urgentBacklog counts the waiting ends of jobs, and the waiting chunks with starts of the
+// given priority or above.
+func (l *Ledger) urgentBacklog(least model.Priority) int {
+	n := len(l.unwrittenEnds)
 	for _, d := range l.dirty {
-		if d.job.chunks[d.n].urgent && d.job.Final == Open && d.job.Spec.Priority >= least {
+		if d.job.chunks[d.chunk].urgent && d.job.Final == Open && d.job.Spec.Priority >= least {
 			n++
 		}
 	}
 	return n
 }
 
-// flush writes what is to be written, one transaction at a time, as much as the
-// budget holds: first the ends of jobs, then what rank says. Every transaction
-// is conditional on our leadership, on the job's record (so that a cancellation
-// and a placement can't both win) and on the chunk's last version (so that a
-// transaction that arrives late fails).
+// flush writes waiting changes within the budget, one transaction at a time: first the ends
+// of jobs, then chunks in the order of rank. Every transaction is conditional on this node's
+// leadership, on the job's record (so that a cancellation and a placement can't both succeed)
+// and on the chunk's last version (so that a transaction that arrives late fails).
 func (l *Ledger) flush() {
-	if l.flying || l.stopped || len(l.dirty)+len(l.ends)+len(l.orphans) == 0 {
+	if l.commitInFlight || l.closed || len(l.dirty)+len(l.unwrittenEnds)+len(l.orphans) == 0 {
 		return
 	}
 	now := l.env.Now()
-	budget := l.spendable()
-	ops := min(l.MaxOps, int(budget))
-	if ops < 1 {
-		l.wait(80 * time.Millisecond)
+	budget := l.writeAllowance()
+	maxChanges := min(l.MaxOps, int(budget))
+	if maxChanges < 1 {
+		l.flushAfter(80 * time.Millisecond)
 		return
 	}
-	spare := int(budget - lazyKeep*l.store.WriteBurst())
-	conds := 4*l.MaxOps - 2
+	spare := int(budget - reservedBurstShare*l.store.WriteBurst())
+	maxConditions := 4*l.MaxOps - 2
 	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Stamp: l.token}}}
-	var fl []*flight
+	var pending []*pendingChange
 	size := 0
-	condJob := map[*Job]bool{}
-	cond := func(j *Job) {
-		if !condJob[j] {
-			condJob[j] = true
+	conditioned := map[*Job]bool{}
+	requireJob := func(j *Job) {
+		if !conditioned[j] {
+			conditioned[j] = true
 			t.When = append(t.When, wire.Cond{Path: JobKey(j.Spec.ID), Stamp: j.Stamp})
 		}
 	}
-	full := func() bool { return len(t.Apply) >= ops || size > 48<<10 || len(t.When) > conds }
-	keepEnds := l.ends[:0]
-	for _, j := range l.ends {
+	full := func() bool { return len(t.Apply) >= maxChanges || size > 48<<10 || len(t.When) > maxConditions }
+	keepEnds := l.unwrittenEnds[:0]
+	for _, j := range l.unwrittenEnds {
 		switch {
-		case l.Jobs[j.Spec.ID] != j || j.Final != Open || j.closing:
-			j.ending = false
+		case l.Jobs[j.Spec.ID] != j || j.Final != Open || j.endInFlight:
+			j.endQueued = false
 		case full():
 			keepEnds = append(keepEnds, j)
 		default:
-			rec := *j.Rec
-			// The description is needed no more.
+			rec := *j.Record
+			// The description of a completed job is no longer needed.
 			rec.Final, rec.Spec = Done, nil
 			v := rec.Encode()
-			cond(j)
+			requireJob(j)
 			t.Apply = append(t.Apply, wire.Change{Write: JobKey(j.Spec.ID), Value: v})
 			size += len(v)
-			fl = append(fl, &flight{job: j, n: -1})
-			j.ending, j.closing = false, true
+			pending = append(pending, &pendingChange{job: j, chunk: -1})
+			j.endQueued, j.endInFlight = false, true
 		}
 	}
-	l.ends = keepEnds
-	var rest []dirtyRef
+	l.unwrittenEnds = keepEnds
+	var deferred []dirtyChunk
 	ranks := make([]int, len(l.dirty))
 	order := make([]int, 0, len(l.dirty))
 	for i, d := range l.dirty {
@@ -235,26 +241,26 @@
 		if ranks[i], ok = l.rank(d, now); ok {
 			order = append(order, i)
 		} else if l.Jobs[d.job.Spec.ID] == d.job {
-			rest = append(rest, d)
+			deferred = append(deferred, d)
 		}
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(ranks[a], ranks[b]) })
 	for _, i := range order {
 		d := l.dirty[i]
-		j, c := d.job, &d.job.chunks[d.n]
+		j, c := d.job, &d.job.chunks[d.chunk]
 		if l.Jobs[j.Spec.ID] != j {
 			continue
 		}
-		lazy := ranks[i] >= lazyRank && len(t.Apply) >= spare
-		if j.closing || lazy || full() {
-			rest = append(rest, d)
+		noSpare := ranks[i] >= deferrableRank && len(t.Apply) >= spare
+		if j.endInFlight || noSpare || full() {
+			deferred = append(deferred, d)
 			continue
 		}
-		key := ChunkKey(j.Spec.ID, d.n)
-		f := &flight{job: j, n: d.n, key: key}
+		key := ChunkKey(j.Spec.ID, d.chunk)
+		f := &pendingChange{job: j, chunk: d.chunk, key: key}
 		if j.Final != Open && j.Placed > 0 {
-			// Its chunks go when the last of its tasks is gone; until then they
-			// may claim more than there is.
+			// The chunks are deleted once the last task is gone. Until then they may
+			// list placements that no longer exist.
 			c.dirty, c.urgent = false, false
 			continue
 		}
@@ -264,53 +270,53 @@
 				continue
 			}
 			t.Apply = append(t.Apply, wire.Change{Delete: key})
-			f.drop = true
+			f.deletion = true
 		} else {
-			v := l.encodeChunk(j, d.n)
+			v := l.encodeChunk(j, d.chunk)
 			if limit := l.store.Config().ValueBytes; limit > 0 && len(v) > limit {
-				v = l.shrink(j, d.n, limit)
+				v = l.shrink(j, d.chunk, limit)
 			}
 			size += len(v)
 			t.Apply = append(t.Apply, wire.Change{Write: key, Value: v})
-			for i := d.n * j.per; i < min(len(j.Tasks), (d.n+1)*j.per); i++ {
-				if p := j.Tasks[i].P; p != nil && !p.Durable {
+			for i := d.chunk * j.tasksPerChunk; i < min(len(j.Tasks), (d.chunk+1)*j.tasksPerChunk); i++ {
+				if p := j.Tasks[i].CurrentPlacement; p != nil && !p.Durable {
 					f.placed = append(f.placed, p)
 				}
 			}
 		}
-		cond(j)
+		requireJob(j)
 		t.When = append(t.When, wire.Cond{Path: key, Stamp: c.stamp})
 		c.dirty, c.urgent, c.inFlight = false, false, true
-		fl = append(fl, f)
+		pending = append(pending, f)
 	}
-	l.dirty = rest
-	for len(l.orphans) > 0 && len(t.Apply) < min(ops, spare) && !full() {
+	l.dirty = deferred
+	for len(l.orphans) > 0 && len(t.Apply) < min(maxChanges, spare) && !full() {
 		o := l.orphans[0]
 		l.orphans = l.orphans[1:]
 		t.When = append(t.When, wire.Cond{Path: o.key, Stamp: o.stamp})
 		t.Apply = append(t.Apply, wire.Change{Delete: o.key})
-		fl = append(fl, &flight{n: -1, key: o.key})
+		pending = append(pending, &pendingChange{chunk: -1, key: o.key})
 	}
 	if len(t.Apply) == 0 {
 		return
 	}
-	l.flying = true
+	l.commitInFlight = true
 	l.store.Commit(t, true, func(r statestore.Result, epoch uint64, failed []string) {
-		l.flying = false
-		if l.stopped {
+		l.commitInFlight = false
+		if l.closed {
 			return
 		}
-		l.settle(fl, r, epoch, failed)
+		l.finishCommit(pending, r, epoch, failed)
 	})
 }
 
-// shrink calls off placements that nobody was told of until the chunk fits its
-// limit, for machines with very long names.
+// shrink removes placements that are not durable yet until the chunk fits the limit for
+// values. Machines with very long names make this necessary.
 func (l *Ledger) shrink(j *Job, n, limit int) []byte {
-	j.Why = ""
+	j.StopReason = ""
 	v := l.encodeChunk(j, n)
-	for i := min(len(j.Tasks), (n+1)*j.per) - 1; i >= n*j.per && len(v) > limit; i-- {
-		if p := j.Tasks[i].P; p != nil && !p.Durable {
+	for i := min(len(j.Tasks), (n+1)*j.tasksPerChunk) - 1; i >= n*j.tasksPerChunk && len(v) > limit; i-- {
+		if p := j.Tasks[i].CurrentPlacement; p != nil && !p.Durable {
 			l.vacate(p)
 			j.Tasks[i].NotBefore = l.env.Now() + 5*time.Second
 			v = l.encodeChunk(j, n)
@@ -319,31 +325,31 @@
 	return v
 }
 
-func (l *Ledger) settle(fl []*flight, r statestore.Result, epoch uint64, failed []string) {
-	for _, f := range fl {
+func (l *Ledger) finishCommit(pending []*pendingChange, r statestore.Result, epoch uint64, failed []string) {
+	for _, f := range pending {
 		if f.job == nil {
 			continue
 		}
-		if f.n >= 0 {
-			f.job.chunks[f.n].inFlight = false
+		if f.chunk >= 0 {
+			f.job.chunks[f.chunk].inFlight = false
 		} else {
-			f.job.closing = false
+			f.job.endInFlight = false
 		}
 	}
 	if r == statestore.OK {
-		l.written = l.env.Now()
+		l.lastWrite = l.env.Now()
 		var started []*Placement
-		for _, f := range fl {
+		for _, f := range pending {
 			l.Changes.count(f)
 			if f.job == nil {
 				continue
 			}
-			if f.n < 0 {
+			if f.chunk < 0 {
 				f.job.Final, f.job.Stamp = Done, epoch
 			} else {
-				f.job.chunks[f.n].stamp = epoch
-				if f.drop {
-					f.job.chunks[f.n].stamp = 0
+				f.job.chunks[f.chunk].stamp = epoch
+				if f.deletion {
+					f.job.chunks[f.chunk].stamp = 0
 				}
 			}
 			for _, p := range f.placed {
@@ -352,7 +358,7 @@
 					started = append(started, p)
 				}
 			}
-			l.forgetIfOver(f.job)
+			l.removeIfOver(f.job)
 		}
 		if len(started) > 0 && l.OnDurable != nil {
 			l.OnDurable(started)
@@ -360,18 +366,18 @@
 		l.flush()
 		return
 	}
-	redo := func() {
-		for _, f := range fl {
+	retry := func() {
+		for _, f := range pending {
 			switch {
 			case f.job == nil:
 				if it, ok := l.store.Peek(f.key); ok {
 					l.orphans = append(l.orphans, orphan{f.key, it.Stamp})
 				}
 			case l.Jobs[f.job.Spec.ID] != f.job:
-			case f.n < 0:
+			case f.chunk < 0:
 				l.checkEnd(f.job)
 			default:
-				l.touch(f.job, f.n*f.job.per, len(f.placed) > 0)
+				l.markDirty(f.job, f.chunk*f.job.tasksPerChunk, len(f.placed) > 0)
 			}
 		}
 	}
@@ -385,47 +391,47 @@
 				return
 			}
 		}
-		l.reread(failed, redo)
+		l.reread(failed, retry)
 	case statestore.Maybe:
-		// It may have been applied or may be yet. Writing again with the same
-		// versions settles it: whichever comes first makes the other fail.
-		redo()
+		// The transaction may have been applied, or may still be. Writing again with the
+		// same versions is safe: whichever is applied first makes the other fail.
+		retry()
 	default:
-		l.flying = true
-		l.env.After(100*time.Millisecond, func() { l.flying = false; redo() })
+		l.commitInFlight = true
+		l.env.After(100*time.Millisecond, func() { l.commitInFlight = false; retry() })
 	}
 }
 
-// reread learns the versions of keys on which a transaction failed.
+// reread fetches the current versions of keys on which a transaction failed.
 func (l *Ledger) reread(keys []string, then func()) {
-	if len(keys) == 0 || l.stopped {
-		if !l.stopped {
+	if len(keys) == 0 || l.closed {
+		if !l.closed {
 			then()
 		}
 		return
 	}
-	l.flying = true
+	l.commitInFlight = true
 	key := keys[0]
 	l.store.Get(key, func(it *statestore.Item, ok bool) {
-		if l.stopped {
+		if l.closed {
 			return
 		}
 		if !ok {
 			l.env.After(100*time.Millisecond, func() { l.reread(keys, then) })
 			return
 		}
-		l.learn(key, it)
-		l.flying = false
+		l.applyReread(key, it)
+		l.commitInFlight = false
 		l.reread(keys[1:], then)
 	})
 }
 
-func (l *Ledger) learn(key string, it *statestore.Item) {
+func (l *Ledger) applyReread(key string, it *statestore.Item) {
 	if strings.HasPrefix(key, JobPrefix) {
-		l.JobEvent(key, it)
+		l.ApplyJobRecord(key, it)
 		if j := l.Jobs[strings.TrimPrefix(key, JobPrefix)]; j != nil && it != nil && j.Final == Done {
-			// An earlier copy of the end was applied.
-			l.forgetIfOver(j)
+			// An earlier attempt to write the end was applied.
+			l.removeIfOver(j)
 		}
 		return
 	}
@@ -442,16 +448,17 @@
 	}
 }
 
-// Kick retries what was left over.
-func (l *Ledger) Kick() {
+// FlushPending writes changes that are still waiting, and updates LongestWriteStall. The
+// leader calls it regularly.
+func (l *Ledger) FlushPending() {
 	l.flush()
 	now := l.env.Now()
 	switch {
-	case !l.flying && l.backlog(model.Low) == 0:
-		l.pending = 0
-	case l.pending == 0:
-		l.pending = now
+	case !l.commitInFlight && l.urgentBacklog(model.Low) == 0:
+		l.pendingSince = 0
+	case l.pendingSince == 0:
+		l.pendingSince = now
 	default:
-		l.Quiet = max(l.Quiet, now-max(l.pending, l.written))
+		l.LongestWriteStall = max(l.LongestWriteStall, now-max(l.pendingSince, l.lastWrite))
 	}
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,8 +1,8 @@
-// Package model has the field's terms that the slices share: jobs, tasks,
-// machines, reports and orders. It knows nothing of any deployment's words.
+// Package model has the types that the other packages share: jobs, tasks, machines, reports and
+// orders. It is independent of the names used in the external interfaces.
 package model
 
-// Kind of a job.
+// Kind is the kind of a job.
 type Kind uint8
 
 // The kinds of jobs.
@@ -12,7 +12,7 @@
 	Service
 )
 
-// Priority orders jobs; a larger value goes first.
+// Priority is the priority of a job. Jobs with larger values go first.
 type Priority uint8
 
 // The priorities.
@@ -23,35 +23,39 @@
 	Production
 )
 
-// Need is what one task takes of its machine.
-type Need struct {
+// Resources is an amount of machine resources: a task's request, or a machine's capacity or use.
+type Resources struct {
 	CPUs, GPUs, MemGB float64
 }
 
-const eps = 1e-6
+const tolerance = 1e-6
 
 // Fits reports whether n fits into free.
-func (n Need) Fits(free Need) bool {
-	return n.CPUs <= free.CPUs+eps && n.GPUs <= free.GPUs+eps && n.MemGB <= free.MemGB+eps
+func (n Resources) Fits(free Resources) bool {
+	return n.CPUs <= free.CPUs+tolerance && n.GPUs <= free.GPUs+tolerance && n.MemGB <= free.MemGB+tolerance
 }
 
 // Add returns a+b.
-func (n Need) Add(b Need) Need { return Need{n.CPUs + b.CPUs, n.GPUs + b.GPUs, n.MemGB + b.MemGB} }
+func (n Resources) Add(b Resources) Resources {
+	return Resources{n.CPUs + b.CPUs, n.GPUs + b.GPUs, n.MemGB + b.MemGB}
+}
 
 // Sub returns a-b.
-func (n Need) Sub(b Need) Need { return Need{n.CPUs - b.CPUs, n.GPUs - b.GPUs, n.MemGB - b.MemGB} }
+func (n Resources) Sub(b Resources) Resources {
+	return Resources{n.CPUs - b.CPUs, n.GPUs - b.GPUs, n.MemGB - b.MemGB}
+}
 
 // Times returns n multiplied by k.
-func (n Need) Times(k float64) Need { return Need{n.CPUs * k, n.GPUs * k, n.MemGB * k} }
+func (n Resources) Times(k float64) Resources { return Resources{n.CPUs * k, n.GPUs * k, n.MemGB * k} }
 
-// Spec is a job as its user described it.
+// Spec is a user's description of a job.
 type Spec struct {
 	ID          string
 	Class, Team string
 	Kind        Kind
 	Priority    Priority
 	Tasks       int
-	Need        Need
+	Resources   Resources
 	Image       string
 	ImageGB     float64
 	Types       []string // nil: any
@@ -63,27 +67,29 @@
 	CheckpointS float64
 	SaveS       float64
 	DeadlineS   float64 // 0: none
-	Units       []UnitAsk
+	Units       []UnitRequest
 }
 
-// Work is how much the job takes, in its owner's estimate: machine room times seconds.
+// Work returns the owner's estimate of the job's total work: the larger of CPUs and GPUs per
+// task, but at least 1, times the number of tasks and the seconds per task.
 func (s *Spec) Work() float64 {
-	return float64(s.Tasks) * max(s.Need.CPUs, s.Need.GPUs, 1) * max(1, s.EstimateS)
+	return float64(s.Tasks) * max(s.Resources.CPUs, s.Resources.GPUs, 1) * max(1, s.EstimateS)
 }
 
-// UnitAsk is how many units of a counted resource a job asks for.
-type UnitAsk struct {
-	Name   string
-	N      int
-	PerJob bool // once for the whole job, while any task has a machine; else for each task
+// UnitRequest is a job's request for units of a counted resource.
+type UnitRequest struct {
+	Name     string
+	Quantity int
+	PerJob   bool // for the whole job while any of its tasks is placed; otherwise for each task
 }
 
-// AtOnce is how many units the job needs to begin with: a gang all of them.
-func (s *Spec) AtOnce(u UnitAsk) int {
+// UnitsToStart returns how many units the job needs before it can start. A gang needs the units
+// of all its tasks.
+func (s *Spec) UnitsToStart(u UnitRequest) int {
 	if u.PerJob || s.Kind != Gang {
-		return u.N
+		return u.Quantity
 	}
-	return u.N * s.Tasks
+	return u.Quantity * s.Tasks
 }
 
 func (p Priority) String() string { return [...]string{"low", "normal", "high", "production"}[p&3] }
@@ -101,7 +107,7 @@
 	return false
 }
 
-// MaxPerZone is how many of the tasks one zone may hold.
+// MaxPerZone returns how many of the job's tasks may run in one zone.
 func (s *Spec) MaxPerZone() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
@@ -109,7 +115,7 @@
 	return s.Tasks
 }
 
-// Phase of a task as its worker reports it.
+// Phase is the phase of a task in its worker's report.
 type Phase uint8
 
 // The phases of a reported task.
@@ -126,23 +132,23 @@
 	return [...]string{"unseen", "fetching", "waiting", "running", "saving", "exited"}[p]
 }
 
-// Exit causes.
+// Causes of a task's end, as its worker reports them.
 const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CausePeers   = "peers"
-	CauseAlone   = "alone"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseUnknown = "unknown"
-	// Causes the service finds out itself.
-	CauseLost      = "machine lost"
-	CauseSession   = "worker restarted"
-	CauseCancelled = "cancelled"
+	CauseDone           = "done"
+	CauseStopped        = "stopped"
+	CausePeerLost       = "peers"
+	CauseGangIncomplete = "alone"
+	CauseError          = "error"
+	CauseNoRoom         = "no_room"
+	CauseBusy           = "busy"
+	CauseUnknown        = "unknown"
+	// Causes that the controller determines itself.
+	CauseMachineLost     = "machine lost"
+	CauseWorkerRestarted = "worker restarted"
+	CauseCancelled       = "cancelled"
 )
 
-// TaskReport is one task in a worker's report.
+// TaskReport is the state of one task in a worker's report.
 type TaskReport struct {
 	Job     string
 	Task    int
@@ -152,17 +158,17 @@
 	Saved   bool
 }
 
-// Report is a worker's report.
+// Report is a worker's report about its machine and tasks.
 type Report struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
 	Session, Seq, Token       uint64
-	Notice                    bool
-	NoticeS                   float64
+	InterruptionNotice        bool
+	InterruptionNoticeS       float64
 	Tasks                     []TaskReport
 }
 
-// Op is what an order asks of a worker.
+// Op is the operation of an order.
 type Op uint8
 
 // The operations.
@@ -181,10 +187,11 @@
 	GraceS  float64
 }
 
-// MachineType as the cloud describes it.
+// MachineType is a type of machine that the cloud offers. It is stored as JSON under these field
+// names.
 type MachineType struct {
 	Name            string
-	Cap             Need
+	Cap             Resources
 	CacheGB         float64
 	FetchGBs        float64
 	Price, SpotCost float64
@@ -192,23 +199,23 @@
 	Zones           []string
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// ListedMachine is a machine in the cloud's list.
+type ListedMachine struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
 	State                  string // "booting", "running", "failed"
 	AgeS                   float64
 }
 
-// TaskAttempt names one attempt of a task.
+// TaskAttempt identifies one attempt of a task.
 type TaskAttempt struct {
 	Job     string
 	Task    int
 	Attempt uint64
 }
 
-// Key is the attempt that a worker reports.
+// Key returns the attempt that the report is about.
 func (t TaskReport) Key() TaskAttempt { return TaskAttempt{t.Job, t.Task, t.Attempt} }
 
-// Key is the attempt that an order is for.
+// Key returns the attempt that the order is for.
 func (o Order) Key() TaskAttempt { return TaskAttempt{o.Job, o.Task, o.Attempt} }
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -203,7 +203,7 @@
 
 // decideSpread decides whether all controllers take reports.
 func (t *term) decideSpread() {
-	size := float64(len(t.ledger.Sorted()))
+	size := float64(len(t.ledger.MachinesByName()))
 	if t.node.spread {
 		size /= gatherFraction
 	}
@@ -212,7 +212,7 @@
 		return
 	}
 	t.node.spread = need
-	t.node.env.Log().Info("workers' reports", "taken_by_all_controllers", need, "machines", len(t.ledger.Sorted()))
+	t.node.env.Log().Info("workers' reports", "taken_by_all_controllers", need, "machines", len(t.ledger.MachinesByName()))
 }
 
 // spreadNeeded reports whether this number of machines is more than one controller can serve.
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -137,7 +137,7 @@
 		return
 	}
 	t.lastDivided = now
-	if t.ledger.Behind(model.Low) > maxBehindS {
+	if t.ledger.WriteBacklogS(model.Low) > maxBehindS {
 		t.ease *= easeDown
 	} else {
 		t.ease = min(1, t.ease+easeUp)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -220,7 +220,7 @@
 	}
 	n.store.Subscribe(func(key string, it *statestore.Item) {
 		if t := n.term; t != nil && len(key) > len(ledger.JobPrefix) && key[:len(ledger.JobPrefix)] == ledger.JobPrefix {
-			t.ledger.JobEvent(key, it)
+			t.ledger.ApplyJobRecord(key, it)
 		} else if t != nil && strings.HasPrefix(key, rollout.Prefix) {
 			t.rollouts.Event(key, it)
 		} else if t != nil && strings.HasPrefix(key, units.Prefix) {
@@ -252,7 +252,7 @@
 	if n.term == nil {
 		return 0
 	}
-	return n.term.ledger.Quiet
+	return n.term.ledger.LongestWriteStall
 }
 
 func (n *Node) status() peer.Status {
@@ -307,18 +307,18 @@
 		return 0, 0, "", false
 	}
 	for i := range j.Tasks {
-		if p := j.Tasks[i].P; p != nil && (p.Phase == model.Running || p.Phase == model.Saving) {
+		if p := j.Tasks[i].CurrentPlacement; p != nil && (p.Phase == model.Running || p.Phase == model.Saving) {
 			running++
 		}
 	}
-	why = j.Why
-	if j.Waits != "" && (running == 0 || j.Asks() && placement.Waiting(j)) {
-		why = j.Waits
+	why = j.StopReason
+	if j.WaitReason != "" && (running == 0 || j.RequestsUnits() && placement.Waiting(j)) {
+		why = j.WaitReason
 	}
-	if fault := j.Fault(); fault != "" {
-		why = fault + "; last: " + j.Why
+	if fault := j.FaultReason(); fault != "" {
+		why = fault + "; last: " + j.StopReason
 	}
-	return j.NDone, running, why, true
+	return j.DoneTasks, running, why, true
 }
 
 // Serve implements httpx.Handler.
@@ -374,11 +374,11 @@
 	t.issuer, t.ease = intake.NewIssuer(n.env.Now(), n.peerLabels(), n.store.OthersWrites()), 1
 	t.cancellations = n.newCancellationListener(t.token)
 	t.ledger = ledger.New(n.env, n.store, token, f.Teams)
-	t.ledger.Attempts = base.Attempts
+	t.ledger.AttemptOffset = base.Attempts
 	t.fleet = fleet.New(n.env, t.ledger, n.store, token, fleet.Config{Charter: t.token, Cloud: n.settings.External.Cloud, RPS: f.Cloud.RPS, Share: f.Limits.CPUShare,
 		ListLag: seconds(f.Cloud.ListLagS), Report: seconds(f.Workers.ReportS), IdleKeep: 15 * time.Second, Patience: 45 * time.Second, Headroom: 0.5})
 	warm := n.images.Snapshot()
-	t.ledger.Warm = func(m *ledger.Machine) {
+	t.ledger.RestoreImages = func(m *ledger.Machine) {
 		for image, x := range warm[m.Name] {
 			m.Images[image], m.ImageGB[image] = x.At, x.GB
 		}
@@ -471,11 +471,11 @@
 		return
 	}
 	t.logProof()
-	t.node.store.Relaxed = t.ledger.Behind(model.Low) <= 0
+	t.node.store.Relaxed = t.ledger.WriteBacklogS(model.Low) <= 0
 	t.divide()
 	t.decideSpread()
 	t.countUnits()
-	t.ledger.Kick()
+	t.ledger.FlushPending()
 	t.logWorkersBack()
 	t.logOverview()
 	if t.node.env.Now()-t.lastPass > time.Second {
@@ -501,14 +501,14 @@
 	c := &t.ledger.Changes
 	t.node.env.Log().Info("written in this term", "for_s", roundToTenth((now - t.workers.Began()).Seconds()), "starts", c.Starts, "tasks", c.Tasks, "ends", c.Ends,
 		"marks", c.Marks, "drops", c.Drops)
-	t.node.env.Log().Info("door", "ease", roundToTenth(t.ease), "behind_s", roundToTenth(t.ledger.Behind(model.Low)), "others_hold", roundToTenth(t.issuer.Held(now)), "wanted", roundToTenth(t.node.gate.Want(now)),
-		"admitted", roundToTenth(t.node.gate.Admitted(now)), "refused", t.node.gate.Refused, "shut", len(t.shut), "longest_quiet_s", roundToTenth(t.ledger.Quiet.Seconds()), "floored", len(t.floored))
+	t.node.env.Log().Info("door", "ease", roundToTenth(t.ease), "behind_s", roundToTenth(t.ledger.WriteBacklogS(model.Low)), "others_hold", roundToTenth(t.issuer.Held(now)), "wanted", roundToTenth(t.node.gate.Want(now)),
+		"admitted", roundToTenth(t.node.gate.Admitted(now)), "refused", t.node.gate.Refused, "shut", len(t.shut), "longest_quiet_s", roundToTenth(t.ledger.LongestWriteStall.Seconds()), "floored", len(t.floored))
 	if teams := t.teamUsage(); teams != "" {
 		t.node.env.Log().Info("teams", "use", teams)
 	}
 }
 
-func fractionOf(n, whole model.Need) float64 {
+func fractionOf(n, whole model.Resources) float64 {
 	if whole.GPUs > 0 {
 		return n.GPUs / whole.GPUs
 	}
--- a/internal/node/overview.go
+++ b/internal/node/overview.go
@@ -29,7 +29,7 @@
 	if t == nil {
 		return o
 	}
-	o.Door.Ease, o.Door.BehindS = roundToTenth(t.ease), roundToTenth(t.ledger.Behind(model.Low))
+	o.Door.Ease, o.Door.BehindS = roundToTenth(t.ease), roundToTenth(t.ledger.WriteBacklogS(model.Low))
 	for _, k := range t.shut {
 		o.Door.Shut = append(o.Door.Shut, k[1]+" of "+k[0])
 	}
@@ -49,12 +49,12 @@
 		if len(o.Queue) == maxListed {
 			break
 		}
-		why := j.Fault()
+		why := j.FaultReason()
 		if why == "" {
-			why = j.Waits
+			why = j.WaitReason
 		}
-		o.Queue = append(o.Queue, wire.JobView{Job: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), Done: j.NDone,
-			Placed: j.Placed, AgeS: roundToTenth((now - j.Since).Seconds()), Why: why, Last: j.Why})
+		o.Queue = append(o.Queue, wire.JobView{Job: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), Done: j.DoneTasks,
+			Placed: j.Placed, AgeS: roundToTenth((now - j.AcceptedAt).Seconds()), Why: why, Last: j.StopReason})
 	}
 	return o
 }
@@ -119,28 +119,28 @@
 func (t *term) countMachinesAndJobs() (c wire.MachinesView, jobs wire.JobsView) {
 	now := t.node.env.Now()
 	silent := 3 * time.Duration(t.node.settings.Facts.Workers.ReportS*float64(time.Second))
-	c.Total = len(t.ledger.Sorted())
-	for _, m := range t.ledger.Sorted() {
+	c.Total = len(t.ledger.MachinesByName())
+	for _, m := range t.ledger.MachinesByName() {
 		switch {
 		case m.Leaving:
 			c.Leaving++
 			continue
-		case !m.Heard:
+		case !m.Reported:
 			c.Booting++
 			continue
-		case now-m.LastHeard > silent:
+		case now-m.LastReport > silent:
 			c.Silent++
-		case len(m.P) == 0:
+		case len(m.Placements) == 0:
 			c.Idle++
 		}
 		if m.Spot {
 			c.Spot++
 		}
-		if len(m.P) > 0 {
+		if len(m.Placements) > 0 {
 			c.Room += fractionOf(m.Free(), m.Cap)
 		}
-		for _, p := range m.P {
-			x := fractionOf(p.Job.Spec.Need, m.Cap)
+		for _, p := range m.Placements {
+			x := fractionOf(p.Job.Spec.Resources, m.Cap)
 			switch p.Phase {
 			case model.Running:
 				c.Running += x
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -36,7 +36,7 @@
 	if share <= 0 || share > 1 {
 		share = 1
 	}
-	return min(time.Second, time.Duration(float64(len(t.ledger.Sorted()))*float64(passGapPerMachine)/share))
+	return min(time.Second, time.Duration(float64(len(t.ledger.MachinesByName()))*float64(passGapPerMachine)/share))
 }
 
 const (
@@ -56,12 +56,12 @@
 	if !t.settled() {
 		return
 	}
-	if t.ledger.Behind(model.High) > maxBehindS {
+	if t.ledger.WriteBacklogS(model.High) > maxBehindS {
 		return // new placements could not become durable soon
 	}
 	// Urgent starts are written first, so only starts that would queue behind all others are
 	// left out.
-	urgentOnly := t.ledger.Behind(model.Low) > maxBehindS
+	urgentOnly := t.ledger.WriteBacklogS(model.Low) > maxBehindS
 	v := &placement.View{Now: now, SilentAfter: 3 * seconds(t.node.settings.Facts.Workers.ReportS), ReportInterval: seconds(t.node.settings.Facts.Workers.ReportS), Holds: t.holds, Objectives: t.aims}
 	v.Machines = placement.Candidates(t.ledger, v)
 	if t.floored == nil || now-t.lastFloors >= floorsEvery {
@@ -129,7 +129,7 @@
 
 func (t *term) preemptFor(j *ledger.Job, stop []*ledger.Placement) {
 	for _, p := range stop {
-		t.node.env.Log().Info("preempting", "job", p.Job.Spec.ID, "task", p.Task, "machine", p.M.Name, "for", j.Spec.ID)
+		t.node.env.Log().Info("preempting", "job", p.Job.Spec.ID, "task", p.Task, "machine", p.Host.Name, "for", j.Spec.ID)
 		t.workers.Evict(p, "made room for "+j.Spec.ID)
 		t.delayOusted(p)
 	}
@@ -151,11 +151,11 @@
 		return
 	}
 	if p.Phase == model.Running || p.Phase == model.Saving {
-		task.Ousted = 0
+		task.Preemptions = 0
 		return
 	}
-	task.Ousted++
-	if n := task.Ousted - 2; n >= 0 {
+	task.Preemptions++
+	if n := task.Preemptions - 2; n >= 0 {
 		task.NotBefore = max(task.NotBefore, t.node.env.Now()+min(maxOustedDelay, oustedDelay<<min(n, 8)))
 	}
 }
@@ -190,7 +190,7 @@
 	t.holds[plan.Empty] = &placement.Hold{Job: j, Until: v.Now + holdFor}
 	for _, mv := range plan.Moves {
 		task := &mv.P.Job.Tasks[mv.P.Task]
-		task.Want, task.WantUntil = mv.To, v.Now+holdFor
+		task.MoveTarget, task.MoveDeadline = mv.To, v.Now+holdFor
 		if t.holds[mv.To] == nil {
 			t.holds[mv.To] = &placement.Hold{Job: mv.P.Job, Until: v.Now + holdFor, Move: true}
 		}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -129,12 +129,12 @@
 // the span.
 func (t *term) workersHeard(span time.Duration) (all, heard int) {
 	now := t.node.env.Now()
-	for _, m := range t.ledger.Sorted() {
-		if m.Leaving || (!m.Heard && len(m.P) == 0 && m.Listed != "running") {
+	for _, m := range t.ledger.MachinesByName() {
+		if m.Leaving || (!m.Reported && len(m.Placements) == 0 && m.ListedState != "running") {
 			continue
 		}
 		all++
-		if m.Heard && now-m.LastHeard < span {
+		if m.Reported && now-m.LastReport < span {
 			heard++
 		}
 	}
--- a/internal/node/units.go
+++ b/internal/node/units.go
@@ -54,7 +54,7 @@
 			}
 		case *ledger.Job:
 			for i := range h.Tasks {
-				if p := h.Tasks[i].P; p != nil && p.Stopping {
+				if p := h.Tasks[i].CurrentPlacement; p != nil && p.Stopping {
 					over -= n
 					break
 				}
@@ -62,14 +62,14 @@
 		}
 	}
 	slices.SortFunc(ps, func(a, b *ledger.Placement) int {
-		return cmp.Or(cmp.Compare(a.Job.Spec.Priority, b.Job.Spec.Priority), cmp.Compare(b.Since, a.Since), cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(a.Job.Spec.Priority, b.Job.Spec.Priority), cmp.Compare(b.PlacedAt, a.PlacedAt), cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID), cmp.Compare(a.Task, b.Task))
 	})
 	for _, p := range ps {
 		if over <= 0 {
 			return
 		}
 		over -= r.Holders[p]
-		t.node.env.Log().Info("stopping a task that exceeds a resource's count", "resource", r.Name, "job", p.Job.Spec.ID, "task", p.Task, "machine", p.M.Name)
+		t.node.env.Log().Info("stopping a task that exceeds a resource's count", "resource", r.Name, "job", p.Job.Spec.ID, "task", p.Task, "machine", p.Host.Name)
 		t.ledger.Stop(p, p.Grace(), "resource "+r.Name+" has fewer units now")
 	}
 }
@@ -91,13 +91,13 @@
 		h := wire.HolderView{Units: n, Task: -1}
 		switch x := who.(type) {
 		case *ledger.Placement:
-			h.Job, h.Task, h.Attempt, h.Machine = x.Job.Spec.ID, x.Task, x.Attempt, x.M.Name
-			h.ForS, h.Until = roundToTenth((now - x.Since).Seconds()), t.until(x)
+			h.Job, h.Task, h.Attempt, h.Machine = x.Job.Spec.ID, x.Task, x.Attempt, x.Host.Name
+			h.ForS, h.Until = roundToTenth((now - x.PlacedAt).Seconds()), t.until(x)
 		case *ledger.Job:
 			h.Job, h.Until = x.Spec.ID, fmt.Sprintf("the last of its %d tasks that have a machine is gone", x.Placed)
 			for i := range x.Tasks {
-				if p := x.Tasks[i].P; p != nil {
-					h.ForS = max(h.ForS, roundToTenth((now - p.Since).Seconds()))
+				if p := x.Tasks[i].CurrentPlacement; p != nil {
+					h.ForS = max(h.ForS, roundToTenth((now - p.PlacedAt).Seconds()))
 				}
 			}
 		}
@@ -114,20 +114,20 @@
 
 // until says what must happen before a placement's units are free.
 func (t *term) until(p *ledger.Placement) string {
-	now, m := t.node.env.Now(), p.M
+	now, m := t.node.env.Now(), p.Host
 	switch {
 	case !p.Durable:
 		return "its start is being written"
 	case m.ReturnSent || m.Leaving:
 		return "the cloud says that its machine is gone, or its end is reported"
-	case !m.Heard:
+	case !m.Reported:
 		return fmt.Sprintf("its machine reports, or its lease has surely run out (in %.0f s)", max(0, (t.workers.DeadAt(m)-now).Seconds()))
-	case now-m.LastHeard > 3*seconds(t.node.settings.Facts.Workers.ReportS):
-		return fmt.Sprintf("its machine, silent for %.0f s, reports again, or its lease has surely run out (in %.0f s)", (now - m.LastHeard).Seconds(),
+	case now-m.LastReport > 3*seconds(t.node.settings.Facts.Workers.ReportS):
+		return fmt.Sprintf("its machine, silent for %.0f s, reports again, or its lease has surely run out (in %.0f s)", (now - m.LastReport).Seconds(),
 			max(0, (t.workers.DeadAt(m)-now).Seconds()))
 	case p.Stopping:
 		return "its end is reported: it was told to stop"
-	case p.Phase == model.Fetching || !p.Seen:
+	case p.Phase == model.Fetching || !p.SeenInReport:
 		return "its end is reported: it is being started"
 	}
 	return "its end is reported: it runs"
--- a/internal/placement/aims.go
+++ b/internal/placement/aims.go
@@ -53,7 +53,7 @@
 // job.
 func (a *Objectives) StartBy(j *ledger.Job, within bool) []time.Duration {
 	var out []time.Duration
-	add := func(s float64) { out = append(out, j.Since+time.Duration(s*float64(time.Second))) }
+	add := func(s float64) { out = append(out, j.AcceptedAt+time.Duration(s*float64(time.Second))) }
 	c := j.Spec.Class
 	for _, w := range a.wait[c] {
 		add(w)
@@ -83,7 +83,7 @@
 	if a.guarantee <= 0 {
 		return math.MaxInt64 / 2
 	}
-	return j.Since + time.Duration(a.guarantee*float64(time.Second))
+	return j.AcceptedAt + time.Duration(a.guarantee*float64(time.Second))
 }
 
 // Missed reports whether the job can't meet any of its objectives any more, even if it
--- a/internal/placement/claims.go
+++ b/internal/placement/claims.go
@@ -56,22 +56,22 @@
 // class below it: only 37% of its jobs completed.
 func NewClaims(l *ledger.Ledger, objectives *Objectives, in map[*ledger.Job]bool, now time.Duration) Claims {
 	claims := Claims{}
-	inOrder, claimed := map[*ledger.Team]model.Need{}, map[*ledger.Team]model.Need{}
+	inOrder, claimed := map[*ledger.Team]model.Resources{}, map[*ledger.Team]model.Resources{}
 	var rest []*ledger.Job
-	need := func(j *ledger.Job) model.Need { return j.Spec.Need.Times(float64(j.Size())) }
+	need := func(j *ledger.Job) model.Resources { return j.Spec.Resources.Times(float64(j.WantedTasks())) }
 	for j := range in {
 		claims[j] = MinShare
 	}
 	for _, j := range l.Order() {
 		t := l.Teams[j.Spec.Team]
-		if t == nil || j.Final != ledger.Open || j.Faulty() || !t.Guarantees(model.Need{}) {
+		if t == nil || j.Final != ledger.Open || j.Faulty() || !t.Guarantees(model.Resources{}) {
 			continue
 		}
 		if u := inOrder[t].Add(need(j)); t.Guarantees(u) {
 			inOrder[t] = u
 			// The objective doesn't count a start that is stopped within freshStart. A job
 			// that missed the objective stays entitled until all its tasks have started.
-			if now <= objectives.guaranteeDeadline(j)+freshStart || j.Begun < j.NDone+j.Size() {
+			if now <= objectives.guaranteeDeadline(j)+freshStart || j.EverPlaced < j.DoneTasks+j.WantedTasks() {
 				claims[j] = Entitled
 				claimed[t] = claimed[t].Add(need(j))
 				continue
@@ -102,5 +102,5 @@
 // remainingWork estimates the work of the job's unfinished tasks, in seconds times the
 // CPUs or GPUs of a task.
 func remainingWork(j *ledger.Job) float64 {
-	return float64(j.Size()) * taskSize(j) * max(1, j.EstimateS())
+	return float64(j.WantedTasks()) * taskSize(j) * max(1, j.EstimateS())
 }
--- a/internal/placement/due.go
+++ b/internal/placement/due.go
@@ -25,7 +25,7 @@
 // meet the earliest of its objectives that can still be met, or to start within
 // defaultStartDelay if it has none.
 func (a *Objectives) dueBy(j *ledger.Job, within bool, now time.Duration) time.Duration {
-	best := j.Since + defaultStartDelay
+	best := j.AcceptedAt + defaultStartDelay
 	for i, t := range a.StartBy(j, within) {
 		if t >= now && (i == 0 || t < best || best < now) {
 			best = t
@@ -111,7 +111,7 @@
 }
 
 // taskSize returns the CPUs or GPUs of a task, at least 1, as a factor of its work.
-func taskSize(j *ledger.Job) float64 { return max(j.Spec.Need.CPUs, j.Spec.Need.GPUs, 1) }
+func taskSize(j *ledger.Job) float64 { return max(j.Spec.Resources.CPUs, j.Spec.Resources.GPUs, 1) }
 
 // workHeap is a heap with the job that has the most work on top.
 type workHeap []*ranked
--- a/internal/placement/due_test.go
+++ b/internal/placement/due_test.go
@@ -18,7 +18,7 @@
 	w := newWorld(1, 40)
 	w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "wait", Class: "c", WithinS: 250, Share: 0.6}})
 	spec := func(tasks int) model.Spec {
-		return model.Spec{Team: "free", Class: "c", Tasks: tasks, Image: "i", Need: model.Need{CPUs: 1, GPUs: 1}, EstimateS: 50}
+		return model.Spec{Team: "free", Class: "c", Tasks: tasks, Image: "i", Resources: model.Resources{CPUs: 1, GPUs: 1}, EstimateS: 50}
 	}
 	runs := w.jobAt(spec(100), 0) // its placed tasks are the capacity that pickOnTime counts on
 	Run(w.l, w.v, w.l.Order(), func(*ledger.Job) {})
@@ -54,12 +54,12 @@
 		r := rand.New(rand.NewPCG(seed, 5))
 		w := newWorld(seed, 4)
 		w.v.Objectives = NewObjectives(nil)
-		w.jobAt(model.Spec{Team: "free", Tasks: 1, Image: "i", Need: model.Need{CPUs: 1, GPUs: 1}, EstimateS: 100}, 0)
+		w.jobAt(model.Spec{Team: "free", Tasks: 1, Image: "i", Resources: model.Resources{CPUs: 1, GPUs: 1}, EstimateS: 100}, 0)
 		Run(w.l, w.v, w.l.Order(), func(*ledger.Job) {})
 		var rs []ranked
 		for range 8 {
 			run := float64(5 + r.IntN(60))
-			j := w.jobAt(model.Spec{Team: "free", Tasks: 1, Image: "i", Need: model.Need{CPUs: 1, GPUs: 1}, EstimateS: run}, 0)
+			j := w.jobAt(model.Spec{Team: "free", Tasks: 1, Image: "i", Resources: model.Resources{CPUs: 1, GPUs: 1}, EstimateS: run}, 0)
 			rs = append(rs, ranked{j: j, work: remainingWork(j), due: w.v.Now + time.Duration(run+float64(r.IntN(200)))*time.Second})
 		}
 		best := 0
@@ -112,7 +112,7 @@
 	w := newWorld(1, 100)
 	w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "wait", Class: "c", WithinS: 250, Share: 0.6}})
 	for i := range 2000 {
-		w.jobAt(model.Spec{Team: []string{"red", "blue", "free"}[i%3], Class: "c", Tasks: 8, Image: fmt.Sprint(i % 5), Need: model.Need{CPUs: 1, GPUs: 1}, EstimateS: 30 + float64(i%70)}, time.Duration(i)*20*time.Millisecond)
+		w.jobAt(model.Spec{Team: []string{"red", "blue", "free"}[i%3], Class: "c", Tasks: 8, Image: fmt.Sprint(i % 5), Resources: model.Resources{CPUs: 1, GPUs: 1}, EstimateS: 30 + float64(i%70)}, time.Duration(i)*20*time.Millisecond)
 		if i == 50 {
 			Run(w.l, w.v, w.l.Order(), func(*ledger.Job) {})
 		}
--- a/internal/placement/floors.go
+++ b/internal/placement/floors.go
@@ -22,7 +22,7 @@
 
 // dominantShare returns which part of the whole n needs, of the resource that it needs the
 // largest part of.
-func dominantShare(n, whole model.Need) float64 {
+func dominantShare(n, whole model.Resources) float64 {
 	s := 0.0
 	for _, x := range [][2]float64{{n.CPUs, whole.CPUs}, {n.GPUs, whole.GPUs}, {n.MemGB, whole.MemGB}} {
 		if x[1] > 0 {
@@ -43,7 +43,7 @@
 // depends only on the unfinished jobs and when they were accepted, which are durable, so
 // that a new leader computes the same. The unfinished jobs of a waiting class accumulate,
 // so that its minimum share grows until it meets the demand of the smallest of them.
-func (f *MinShares) JobsWithin(l *ledger.Ledger, objectives *Objectives, whole model.Need, now time.Duration) map[*ledger.Job]bool {
+func (f *MinShares) JobsWithin(l *ledger.Ledger, objectives *Objectives, whole model.Resources, now time.Duration) map[*ledger.Job]bool {
 	if f == nil || f.Most <= 0 {
 		return nil
 	}
@@ -57,7 +57,7 @@
 	highest := model.Low
 	waiting := false
 	for _, j := range l.Order() {
-		if j.Final != ledger.Open || j.Faulty() || !j.Readable() || j.Spec.Kind == model.Service || j.Size() == 0 || l.Teams[j.Spec.Team] == nil {
+		if j.Final != ledger.Open || j.Faulty() || !j.Readable() || j.Spec.Kind == model.Service || j.WantedTasks() == 0 || l.Teams[j.Spec.Team] == nil {
 			continue
 		}
 		waiting = waiting || Waiting(j)
@@ -68,7 +68,7 @@
 		topPriority[k] = max(topPriority[k], j.Spec.Priority)
 		highest = max(highest, j.Spec.Priority)
 		// The rank falls with the time waited, so that large jobs do not starve.
-		rank := remainingWork(j) / (1 + max(0, now-j.Since).Seconds()/starvationTime.Seconds())
+		rank := remainingWork(j) / (1 + max(0, now-j.AcceptedAt).Seconds()/starvationTime.Seconds())
 		if objectives.Missed(j, false, now) {
 			rank *= missedRankFactor // prefer jobs that can still be on time: as many jobs get a share either way
 		}
@@ -86,7 +86,7 @@
 		slices.SortStableFunc(g, func(a, b member) int { return cmp.Compare(a.rank, b.rank) })
 		s := &fair.Share{Key: k}
 		for _, m := range g[:int(math.Ceil(f.Part*float64(len(g))))] {
-			s.Demand += dominantShare(m.j.Spec.Need, whole) * float64(m.j.Size()) * (m.j.EstimateS() + startupS) / f.Over.Seconds()
+			s.Demand += dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks()) * (m.j.EstimateS() + startupS) / f.Over.Seconds()
 		}
 		shares[i] = s
 		if topPriority[k] == highest {
@@ -101,7 +101,7 @@
 	for i, k := range keys {
 		used := 0.0
 		for _, m := range groups[k] {
-			n := dominantShare(m.j.Spec.Need, whole) * float64(m.j.Size())
+			n := dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks())
 			if used > 0 && used+n > shares[i].Allocated {
 				break
 			}
--- a/internal/placement/floors_test.go
+++ b/internal/placement/floors_test.go
@@ -21,7 +21,7 @@
 		w := newWorld(seed, 4+r.IntN(60))
 		for range 1 + r.IntN(60) {
 			s := model.Spec{Team: []string{"red", "blue", "free"}[r.IntN(3)], Class: fmt.Sprint("c", r.IntN(4)), Tasks: 1 + r.IntN(30), Image: "i",
-				Need: model.Need{CPUs: 1, GPUs: float64(1 + r.IntN(4)), MemGB: 1}, EstimateS: float64(10 + r.IntN(300)), Priority: model.Priority(r.IntN(4))}
+				Resources: model.Resources{CPUs: 1, GPUs: float64(1 + r.IntN(4)), MemGB: 1}, EstimateS: float64(10 + r.IntN(300)), Priority: model.Priority(r.IntN(4))}
 			w.job(s)
 		}
 		whole := w.v.TotalCapacity()
@@ -31,7 +31,7 @@
 			k := fair.Key{Team: j.Spec.Team, Class: j.Spec.Class}
 			seen[k] = true
 			if in[j] {
-				n := dominantShare(j.Spec.Need, whole) * float64(j.Size())
+				n := dominantShare(j.Spec.Resources, whole) * float64(j.WantedTasks())
 				sum += n
 				first[k] = max(first[k], n)
 			}
@@ -58,11 +58,11 @@
 func TestFloorsOfInventedClasses(t *testing.T) {
 	w := newWorld(1, 100)
 	for i := range 400 {
-		w.job(model.Spec{Team: "red", Class: fmt.Sprint(i), Tasks: 4, Need: model.Need{GPUs: 1}, EstimateS: 100})
+		w.job(model.Spec{Team: "red", Class: fmt.Sprint(i), Tasks: 4, Resources: model.Resources{GPUs: 1}, EstimateS: 100})
 	}
 	var honest []*ledger.Job
 	for range 200 {
-		honest = append(honest, w.job(model.Spec{Team: "blue", Class: "c", Tasks: 4, Need: model.Need{GPUs: 1}, EstimateS: 100}))
+		honest = append(honest, w.job(model.Spec{Team: "blue", Class: "c", Tasks: 4, Resources: model.Resources{GPUs: 1}, EstimateS: 100}))
 	}
 	f := &MinShares{Sharing: settings.DefaultSharing()}
 	in := f.JobsWithin(w.l, w.v.Objectives, w.v.TotalCapacity(), w.v.Now)
@@ -85,12 +85,12 @@
 	w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 60}})
 	var low []*ledger.Job
 	for range 10 {
-		low = append(low, w.job(model.Spec{Team: "free", Class: "low", Tasks: 8, Need: model.Need{GPUs: 1}, EstimateS: 100, Image: "i", CheckpointS: 5}))
+		low = append(low, w.job(model.Spec{Team: "free", Class: "low", Tasks: 8, Resources: model.Resources{GPUs: 1}, EstimateS: 100, Image: "i", CheckpointS: 5}))
 	}
 	Run(w.l, w.v, Order(w.l, w.v, Claims{}), func(*ledger.Job) {})
 	var urgent []*ledger.Job
 	for range 10 {
-		urgent = append(urgent, w.job(model.Spec{Team: "free", Class: "urgent", Tasks: 1, Need: model.Need{GPUs: 8}, EstimateS: 100, Image: "j", Priority: model.High}))
+		urgent = append(urgent, w.job(model.Spec{Team: "free", Class: "urgent", Tasks: 1, Resources: model.Resources{GPUs: 8}, EstimateS: 100, Image: "j", Priority: model.High}))
 	}
 	for _, floors := range []bool{true, false} {
 		in := map[*ledger.Job]bool{}
@@ -100,7 +100,7 @@
 		st := NewPreemptor(w.l, w.v, NewClaims(w.l, w.v.Objectives, in, w.v.Now))
 		kept, stoppable := 0, 0
 		for _, j := range low {
-			if p := j.Tasks[0].P; p != nil {
+			if p := j.Tasks[0].CurrentPlacement; p != nil {
 				// The urgent job may itself be within a minimum share.
 				if st.mayPreempt(urgent[9], p) {
 					stoppable++
@@ -122,10 +122,10 @@
 // waiting.
 func flooded() *world {
 	w, r := newWorld(1, 1300), rand.New(rand.NewPCG(1, 1))
-	full := w.job(model.Spec{Team: "free", Tasks: 10400 - 8, Need: model.Need{CPUs: 1, GPUs: 1}, Image: "i", CheckpointS: 5, EstimateS: 60, Spot: true})
+	full := w.job(model.Spec{Team: "free", Tasks: 10400 - 8, Resources: model.Resources{CPUs: 1, GPUs: 1}, Image: "i", CheckpointS: 5, EstimateS: 60, Spot: true})
 	Run(w.l, w.v, []*ledger.Job{full}, func(*ledger.Job) {})
 	for i := range 10000 {
-		w.job(model.Spec{Team: []string{"red", "blue", "free"}[r.IntN(3)], Class: fmt.Sprint("c", i%20), Tasks: 25, Need: model.Need{CPUs: 1, GPUs: float64(2 + r.IntN(7))}, Image: "i",
+		w.job(model.Spec{Team: []string{"red", "blue", "free"}[r.IntN(3)], Class: fmt.Sprint("c", i%20), Tasks: 25, Resources: model.Resources{CPUs: 1, GPUs: float64(2 + r.IntN(7))}, Image: "i",
 			Priority: model.Priority(r.IntN(4)), EstimateS: 60})
 	}
 	return w
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -12,7 +12,7 @@
 // the n tasks at once, and among equals the one with the best machine. The first task that
 // is placed binds the others to its zone. When that zone was full, they waited while
 // machines of another zone were empty.
-func keepRoomiestZone(cs []candidate, need model.Need, n int) []candidate {
+func keepRoomiestZone(cs []candidate, need model.Resources, n int) []candidate {
 	slots, best := map[string]int{}, map[string]candidate{}
 	for _, c := range cs {
 		slots[c.machine.Zone] += countSlots(c.machine.Free(), need, n-slots[c.machine.Zone])
@@ -31,12 +31,12 @@
 
 func placeGang(l *ledger.Ledger, v *View, r *machineIndex, j *ledger.Job, team *ledger.Team) bool {
 	if j.Placed > 0 && !ledger.Forming(j) {
-		j.Waits = "its last attempt isn't gone yet"
+		j.WaitReason = "its last attempt isn't gone yet"
 		return false
 	}
-	if j.Placed > 0 && j.Short > 0 && v.Now-j.Short > maxReplacementWait {
-		j.Waits = "a task that was lost could not be replaced in time"
-		l.GiveUp(j)
+	if j.Placed > 0 && j.IncompleteSince > 0 && v.Now-j.IncompleteSince > maxReplacementWait {
+		j.WaitReason = "a task that was lost could not be replaced in time"
+		l.StopIncompleteGang(j)
 		return false
 	}
 	attempt := uint64(0)
@@ -44,10 +44,10 @@
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		if t.NotBefore > v.Now {
-			j.Waits = "waits after a failure"
+			j.WaitReason = "waits after a failure"
 			return false
 		}
-		if !t.Done && t.P == nil {
+		if !t.Done && t.CurrentPlacement == nil {
 			n++
 		}
 		attempt = max(attempt, t.Attempt)
@@ -55,8 +55,8 @@
 	if j.Placed == 0 {
 		attempt++ // otherwise the new tasks replace lost ones within the present attempt
 	}
-	if !team.Within(j.Spec.Need.Times(float64(n))) {
-		j.Waits = "the team's limit is used up"
+	if !team.WithinLimit(j.Spec.Resources.Times(float64(n))) {
+		j.WaitReason = "the team's limit is used up"
 		return false
 	}
 	if !v.Units.Allow(l, j, n) {
@@ -64,7 +64,7 @@
 	}
 	const reason = "not enough machines have room at once"
 	if r.knownToFail(j.Spec, n) && !v.hasHold(j) {
-		j.Waits = reason
+		j.WaitReason = reason
 		return false
 	}
 	machines, onlyCapacity := pickGang(l, v, r.machines, j, n)
@@ -72,12 +72,12 @@
 		if onlyCapacity {
 			r.recordMiss(j.Spec, n)
 		}
-		j.Waits = reason
+		j.WaitReason = reason
 		return false
 	}
 	k := 0
 	for i := range j.Tasks {
-		if !j.Tasks[i].Done && j.Tasks[i].P == nil {
+		if !j.Tasks[i].Done && j.Tasks[i].CurrentPlacement == nil {
 			l.Plan(j, i, attempt, machines[k])
 			k++
 		}
@@ -133,7 +133,7 @@
 	slots := map[string]int{}
 	for _, m := range machines {
 		free := m.Free()
-		if !j.Spec.Need.Fits(free) || !Allowed(j, m) || !v.mayUse(j, m) {
+		if !j.Spec.Resources.Fits(free) || !Allowed(j, m) || !v.mayUse(j, m) {
 			continue
 		}
 		if home != "" && m.Zone != home {
@@ -150,7 +150,7 @@
 			continue
 		}
 		fits = append(fits, m)
-		slots[m.Zone] += countSlots(free, j.Spec.Need, n-slots[m.Zone])
+		slots[m.Zone] += countSlots(free, j.Spec.Resources, n-slots[m.Zone])
 	}
 	var cs []candidate
 	for _, m := range fits {
@@ -167,8 +167,8 @@
 			z = c.machine.Zone
 		}
 		free := c.machine.Free()
-		for j.Spec.Need.Fits(free) && (j.Spec.OneZone || zoneAllows(j, count, c.machine.Zone)) {
-			free = free.Sub(j.Spec.Need)
+		for j.Spec.Resources.Fits(free) && (j.Spec.OneZone || zoneAllows(j, count, c.machine.Zone)) {
+			free = free.Sub(j.Spec.Resources)
 			picks[z] = append(picks[z], c.machine)
 			count[c.machine.Zone]++
 			// The candidates are sorted by score, so the lowest-rated machine of the
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -22,7 +22,7 @@
 		if !Waiting(j) {
 			continue
 		}
-		if j.Faulty() && !j.Trial(v.Now) {
+		if j.Faulty() && !j.TrialDue(v.Now) {
 			continue
 		}
 		c := claims[j]
@@ -33,7 +33,7 @@
 			if !c.hasMinShare() {
 				r.claim = NoClaim
 			}
-			waited := max(0, v.Now-j.Since).Seconds()
+			waited := max(0, v.Now-j.AcceptedAt).Seconds()
 			r.work /= 1 + waited/starvationTime.Seconds()
 		} else if v.Objectives != nil {
 			r.due = v.Objectives.dueBy(j, c == Entitled, v.Now)
@@ -61,7 +61,7 @@
 				return c
 			}
 		}
-		return cmp.Or(cmp.Compare(x.work, y.work), cmp.Compare(x.j.Since, y.j.Since))
+		return cmp.Or(cmp.Compare(x.work, y.work), cmp.Compare(x.j.AcceptedAt, y.j.AcceptedAt))
 	})
 	out := make([]*ledger.Job, len(rs))
 	for i := range rs {
@@ -88,5 +88,5 @@
 
 // Waiting reports whether the job has tasks that need a machine and may get one.
 func Waiting(j *ledger.Job) bool {
-	return j.Final == ledger.Open && !j.Broken && j.Readable() && j.Idle() > 0
+	return j.Final == ledger.Open && !j.Disbanding && j.Readable() && j.Idle() > 0
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -26,12 +26,12 @@
 
 // Usable reports whether the machine may be given new tasks.
 func Usable(m *ledger.Machine, v *View) bool {
-	return m.Known && m.Heard && !m.Gone && !m.Leaving && !m.Notice && v.Now >= m.NoPlace && v.Now-m.LastHeard <= v.SilentAfter
+	return m.TypeKnown && m.Reported && !m.Gone && !m.Leaving && !m.InterruptionNotice && v.Now >= m.NoPlacementBefore && v.Now-m.LastReport <= v.SilentAfter
 }
 
 // TotalCapacity returns the sum of the capacities of all machines in the view.
-func (v *View) TotalCapacity() model.Need {
-	var n model.Need
+func (v *View) TotalCapacity() model.Resources {
+	var n model.Resources
 	for _, m := range v.Machines {
 		n = n.Add(m.Cap)
 	}
@@ -48,7 +48,7 @@
 	var left []*ledger.Job
 	r := newMachineIndex(v)
 	for _, j := range order {
-		if !placeJob(l, v, r, j) && (!j.Faulty() || j.Overdue(v.Now)) {
+		if !placeJob(l, v, r, j) && (!j.Faulty() || j.MayRentForTrial(v.Now)) {
 			left = append(left, j)
 			if !j.Faulty() {
 				refused(j)
@@ -61,7 +61,7 @@
 // Candidates returns the machines that can take new tasks, ordered by name.
 func Candidates(l *ledger.Ledger, v *View) []*ledger.Machine {
 	var out []*ledger.Machine
-	for _, m := range l.Sorted() {
+	for _, m := range l.MachinesByName() {
 		if Usable(m, v) {
 			out = append(out, m)
 		}
@@ -73,7 +73,7 @@
 // machine. It checks neither free capacity nor where the job's other tasks are.
 func Allowed(j *ledger.Job, m *ledger.Machine) bool {
 	s := j.Spec
-	return s.AllowsType(m.Type) && (s.Zone == "" || s.Zone == m.Zone) && (j.Zone == "" || j.Zone == m.Zone) && (s.Spot || !m.Spot) && j.MayListen(m)
+	return s.AllowsType(m.Type) && (s.Zone == "" || s.Zone == m.Zone) && (j.Zone == "" || j.Zone == m.Zone) && (s.Spot || !m.Spot) && j.AnyPortFree(m)
 }
 
 // placementsByZone counts the job's placed tasks by zone; ok is false while the zone of
@@ -85,11 +85,11 @@
 		return count, true
 	}
 	for i := range j.Tasks {
-		if p := j.Tasks[i].P; p != nil {
-			if !p.M.Known {
+		if p := j.Tasks[i].CurrentPlacement; p != nil {
+			if !p.Host.TypeKnown {
 				return nil, false
 			}
-			count[p.M.Zone]++
+			count[p.Host.Zone]++
 		}
 	}
 	return count, true
@@ -109,7 +109,7 @@
 func placeJob(l *ledger.Ledger, v *View, r *machineIndex, j *ledger.Job) bool {
 	team := l.Teams[j.Spec.Team]
 	if team == nil {
-		j.Waits = "its team is not in the settings"
+		j.WaitReason = "its team is not in the settings"
 		return false
 	}
 	if j.Spec.Kind == model.Gang {
@@ -117,12 +117,12 @@
 	}
 	count, ok := placementsByZone(j)
 	if !ok {
-		j.Waits = "the zone of one of its machines isn't known yet"
+		j.WaitReason = "the zone of one of its machines isn't known yet"
 		return false
 	}
 	s := j.Spec
 	if r.knownToFail(s, 1) && !v.hasHold(j) && !isBeingMoved(j) {
-		j.Waits = "no machine has room"
+		j.WaitReason = "no machine has room"
 		return false
 	}
 	all, onlyCapacity := true, true
@@ -131,25 +131,25 @@
 	defer func() { r.dropFull(h.taken) }()
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		if t.Done || t.P != nil || t.Off {
+		if t.Done || t.CurrentPlacement != nil || t.Unwanted {
 			continue
 		}
 		if t.NotBefore > v.Now {
-			j.Waits = "waits after a failure"
-			if t.Ousted > 0 {
-				j.Waits = "was stopped for others again and again, waits for their number to fall"
+			j.WaitReason = "waits after a failure"
+			if t.Preemptions > 0 {
+				j.WaitReason = "was stopped for others again and again, waits for their number to fall"
 			}
 			all = false
 			continue
 		}
-		if !team.Within(s.Need) {
-			j.Waits = "the team's limit is used up"
+		if !team.WithinLimit(s.Resources) {
+			j.WaitReason = "the team's limit is used up"
 			return false
 		}
 		if !v.Units.Allow(l, j, 1) {
 			return false
 		}
-		if w := t.Want; w != nil && v.Now < t.WantUntil && Usable(w, v) && Allowed(j, w) && s.Need.Fits(w.Free()) && zoneAllows(j, count, w.Zone) && j.PortFree(i, w) {
+		if w := t.MoveTarget; w != nil && v.Now < t.MoveDeadline && Usable(w, v) && Allowed(j, w) && s.Resources.Fits(w.Free()) && zoneAllows(j, count, w.Zone) && j.PortFree(i, w) {
 			l.Plan(j, i, t.Attempt+1, w) // the destination was chosen when its old machine was drained
 			count[w.Zone]++
 			continue
@@ -157,13 +157,13 @@
 		if !built {
 			built = true
 			for _, m := range r.machines {
-				if s.Need.Fits(m.Free()) && Allowed(j, m) && v.mayUse(j, m) {
+				if s.Resources.Fits(m.Free()) && Allowed(j, m) && v.mayUse(j, m) {
 					h.candidates = append(h.candidates, candidate{m, Score(l, v, j, m)})
 				}
 			}
 			if s.OneZone && j.Placed == 0 {
 				fits := len(h.candidates)
-				h.candidates = keepRoomiestZone(h.candidates, s.Need, j.Idle())
+				h.candidates = keepRoomiestZone(h.candidates, s.Resources, j.Idle())
 				onlyCapacity = onlyCapacity && len(h.candidates) == fits // machines in other zones have room for other jobs
 			}
 			heap.Init(&h)
@@ -171,7 +171,7 @@
 		onlyCapacity = onlyCapacity && t.Avoids(v.Now) == nil && j.Zone == "" && j.Port == 0
 		m := h.next(v, j, i, count)
 		if m == nil {
-			j.Waits = "no machine has room"
+			j.WaitReason = "no machine has room"
 			// Record the miss only if no machine has room. A constraint of this job alone,
 			// such as the zone of its other tasks, must not stop jobs with the same
 			// constraints: one array bound to a full zone made the others wait while
@@ -187,7 +187,7 @@
 		}
 		count[m.Zone]++
 		h.taken = append(h.taken, m)
-		if s.Need.Fits(m.Free()) {
+		if s.Resources.Fits(m.Free()) {
 			heap.Push(&h, candidate{m, Score(l, v, j, m)})
 		}
 	}
@@ -197,7 +197,7 @@
 // isBeingMoved reports whether a task of the job is waiting to move to a chosen machine.
 func isBeingMoved(j *ledger.Job) bool {
 	for i := range j.Tasks {
-		if t := &j.Tasks[i]; t.Want != nil && t.P == nil && !t.Done && !t.Off {
+		if t := &j.Tasks[i]; t.MoveTarget != nil && t.CurrentPlacement == nil && !t.Done && !t.Unwanted {
 			return true
 		}
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -34,10 +34,10 @@
 	e := env{rand.New(rand.NewPCG(seed, 1))}
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 8, ValueBytes: 4096}), 1,
 		[]settings.Team{{Name: "red", GPUs: 24}, {Name: "blue", GPUs: 16, GPUsMax: 64}, {Name: "free"}})
-	l.Types["g8"] = &model.MachineType{Name: "g8", Cap: model.Need{CPUs: 96, GPUs: 8, MemGB: 500}, FetchGBs: 0.5}
+	l.Types["g8"] = &model.MachineType{Name: "g8", Cap: model.Resources{CPUs: 96, GPUs: 8, MemGB: 500}, FetchGBs: 0.5}
 	for i := range machines {
 		m := l.Machine(fmt.Sprintf("m%03d", i))
-		m.Heard, m.LastHeard = true, e.Now()
+		m.Reported, m.LastReport = true, e.Now()
 		l.Describe(m, "g8", []string{"x", "y"}[i%2], i%3 == 0)
 	}
 	w := &world{l: l, v: &View{Now: e.Now(), SilentAfter: time.Minute, Holds: map[*ledger.Machine]*Hold{}, Objectives: NewObjectives(nil)}}
@@ -52,15 +52,15 @@
 	w.n++
 	s.ID = fmt.Sprintf("j-%d", w.n)
 	rec := ledger.NewRecord(&s, at.Milliseconds()+int64(w.n), "", 48)
-	w.l.JobEvent(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(w.n)})
+	w.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(w.n)})
 	return w.l.Jobs[s.ID]
 }
 
 func (w *world) randomJob(r *rand.Rand) *ledger.Job {
 	s := model.Spec{Team: []string{"red", "blue", "free"}[r.IntN(3)], Tasks: 1 + r.IntN(6), Image: "i", CheckpointS: 5, SaveS: 1,
-		Priority: model.Priority(r.IntN(4)), Need: model.Need{CPUs: 1, GPUs: float64(1 + r.IntN(4)), MemGB: 1}, Spot: true, EstimateS: 60}
+		Priority: model.Priority(r.IntN(4)), Resources: model.Resources{CPUs: 1, GPUs: float64(1 + r.IntN(4)), MemGB: 1}, Spot: true, EstimateS: 60}
 	if r.IntN(3) == 0 {
-		s.Kind, s.OneZone, s.Need.GPUs = model.Gang, r.IntN(2) == 0, 8
+		s.Kind, s.OneZone, s.Resources.GPUs = model.Gang, r.IntN(2) == 0, 8
 		s.Tasks = 1 + r.IntN(3)
 	}
 	return w.job(s)
@@ -85,7 +85,7 @@
 		st := NewPreemptor(w.l, w.v, claims)
 		for _, a := range w.l.Order() {
 			for _, b := range w.l.Order() {
-				pa, pb := a.Tasks[0].P, b.Tasks[0].P
+				pa, pb := a.Tasks[0].CurrentPlacement, b.Tasks[0].CurrentPlacement
 				if a == b || pa == nil || pb == nil {
 					continue
 				}
@@ -117,15 +117,15 @@
 		w.v.Holds[held] = &Hold{Job: w.l.Order()[0], Until: time.Hour}
 		left := Run(w.l, w.v, Order(w.l, w.v, NewClaims(w.l, w.v.Objectives, w.jobsWithinMinShares(), w.v.Now)), func(*ledger.Job) {})
 		for _, m := range w.v.Machines {
-			if !(model.Need{}).Fits(m.Free()) {
+			if !(model.Resources{}).Fits(m.Free()) {
 				t.Fatalf("seed %d: %s is over-full: %+v", seed, m.Name, m.Free())
 			}
-			for _, p := range m.P {
+			for _, p := range m.Placements {
 				placed++
 				if m == held && p.Job != w.v.Holds[held].Job {
 					t.Fatalf("seed %d: held room was taken", seed)
 				}
-				if s := p.Job.Spec; s.Kind == model.Gang && s.OneZone && m.Zone != p.Job.Tasks[0].P.M.Zone {
+				if s := p.Job.Spec; s.Kind == model.Gang && s.OneZone && m.Zone != p.Job.Tasks[0].CurrentPlacement.Host.Zone {
 					t.Fatalf("seed %d: a gang is in two zones", seed)
 				}
 			}
@@ -134,11 +134,11 @@
 			t.Fatalf("seed %d: blue uses %v GPUs", seed, u)
 		}
 		for _, j := range left {
-			if j.Spec.Kind == model.Gang || !w.l.Teams[j.Spec.Team].Within(j.Spec.Need) {
+			if j.Spec.Kind == model.Gang || !w.l.Teams[j.Spec.Team].WithinLimit(j.Spec.Resources) {
 				continue
 			}
 			for _, m := range w.v.Machines {
-				if j.Spec.Need.Fits(m.Free()) && w.v.mayUse(j, m) {
+				if j.Spec.Resources.Fits(m.Free()) && w.v.mayUse(j, m) {
 					t.Fatalf("seed %d: a task of %s would fit on %s", seed, j.Spec.ID, m.Name)
 				}
 			}
@@ -153,20 +153,20 @@
 // the whole gang, and against spot machines that stay unused.
 func TestSpotRisk(t *testing.T) {
 	w := newWorld(1, 24) // 8 of them spot machines
-	gang := w.job(model.Spec{Team: "free", Kind: model.Gang, Tasks: 12, Need: model.Need{GPUs: 8}, Image: "i", EstimateS: 100, CheckpointS: 45, SaveS: 5, Spot: true})
-	array := w.job(model.Spec{Team: "free", Tasks: 32, Need: model.Need{GPUs: 1}, Image: "i", EstimateS: 100, CheckpointS: 10, SaveS: 1, Spot: true})
+	gang := w.job(model.Spec{Team: "free", Kind: model.Gang, Tasks: 12, Resources: model.Resources{GPUs: 8}, Image: "i", EstimateS: 100, CheckpointS: 45, SaveS: 5, Spot: true})
+	array := w.job(model.Spec{Team: "free", Tasks: 32, Resources: model.Resources{GPUs: 1}, Image: "i", EstimateS: 100, CheckpointS: 10, SaveS: 1, Spot: true})
 	Run(w.l, w.v, []*ledger.Job{gang, array}, func(j *ledger.Job) { t.Errorf("%s waits", j.Spec.ID) })
 	for _, m := range w.v.Machines {
-		for _, p := range m.P {
+		for _, p := range m.Placements {
 			if m.Spot != (p.Job == array) {
 				t.Errorf("a task of %s is on %s, spot %v", p.Job.Spec.ID, m.Name, m.Spot)
 			}
 		}
 	}
-	before := w.l.SpotRisk()
-	w.l.SpotTaken, w.l.SpotHours = 50, 4
-	if w.l.SpotRisk() < 5*before {
-		t.Errorf("50 spot machines taken in 4 machine hours changed the risk from %v to %v only", before, w.l.SpotRisk())
+	before := w.l.SpotInterruptionRate()
+	w.l.SpotInterruptions, w.l.SpotHours = 50, 4
+	if w.l.SpotInterruptionRate() < 5*before {
+		t.Errorf("50 spot machines taken in 4 machine hours changed the risk from %v to %v only", before, w.l.SpotInterruptionRate())
 	}
 }
 
@@ -177,7 +177,7 @@
 	w := newWorld(1, 4)
 	w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "guarantee", WithinS: 20}})
 	add := func(at time.Duration, gpus int, est, due float64) *ledger.Job {
-		return w.jobAt(model.Spec{Team: "red", Tasks: gpus, Need: model.Need{GPUs: 1}, EstimateS: est, DeadlineS: due}, at)
+		return w.jobAt(model.Spec{Team: "red", Tasks: gpus, Resources: model.Resources{GPUs: 1}, EstimateS: est, DeadlineS: due}, at)
 	}
 	late, large, small := add(0, 8, 600, 30), add(time.Second, 16, 100, 900), add(2*time.Second, 12, 10, 900)
 	// The two oldest jobs take all 24 GPUs, 8 and 16. When they are late, the small
@@ -187,7 +187,7 @@
 		t.Errorf("late %v, large %v: they are entitled and have not begun", in[late], in[large])
 	}
 	for _, j := range []*ledger.Job{late, large, small, tiny} {
-		j.Begun = len(j.Tasks)
+		j.EverPlaced = len(j.Tasks)
 	}
 	in := NewClaims(w.l, w.v.Objectives, nil, w.v.Now)
 	if in[late] != NoClaim || in[large] != NoClaim || in[small] != SpareGuarantee || in[tiny] != SpareGuarantee {
@@ -195,7 +195,7 @@
 	}
 	// A new job is entitled if it fits together with all earlier ones.
 	for _, j := range []*ledger.Job{late, large} {
-		j.NDone = len(j.Tasks) - 2
+		j.DoneTasks = len(j.Tasks) - 2
 	}
 	if young := add(50*time.Second, 4, 500, 30); NewClaims(w.l, w.v.Objectives, nil, w.v.Now)[young] != Entitled {
 		t.Error("a new job that fits into the guarantee is not entitled")
@@ -204,7 +204,7 @@
 		w, r := newWorld(seed, 4), rand.New(rand.NewPCG(seed, 4))
 		w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "guarantee", WithinS: 40}})
 		for range 20 {
-			w.jobAt(model.Spec{Team: "red", Tasks: 1 + r.IntN(12), Need: model.Need{GPUs: 1}, EstimateS: float64(r.IntN(300)),
+			w.jobAt(model.Spec{Team: "red", Tasks: 1 + r.IntN(12), Resources: model.Resources{GPUs: 1}, EstimateS: float64(r.IntN(300)),
 				DeadlineS: float64(30 + r.IntN(300)), Priority: model.Priority(r.IntN(3))}, time.Duration(r.IntN(60))*time.Second)
 		}
 		sum := 0
@@ -223,10 +223,10 @@
 // machines, 150 jobs with 9,900 waiting tasks.
 func BenchmarkPass(b *testing.B) {
 	w, r := newWorld(1, 1300), rand.New(rand.NewPCG(1, 1))
-	full := w.job(model.Spec{Team: "free", Tasks: 10400 - 8, Need: model.Need{CPUs: 1, GPUs: 1}, Image: "i", CheckpointS: 5, EstimateS: 60, Spot: true})
+	full := w.job(model.Spec{Team: "free", Tasks: 10400 - 8, Resources: model.Resources{CPUs: 1, GPUs: 1}, Image: "i", CheckpointS: 5, EstimateS: 60, Spot: true})
 	Run(w.l, w.v, []*ledger.Job{full}, func(*ledger.Job) {})
 	for range 150 {
-		w.job(model.Spec{Team: []string{"red", "blue", "free"}[r.IntN(3)], Tasks: 66, Need: model.Need{CPUs: 1, GPUs: float64(2 + r.IntN(7))}, Image: "i",
+		w.job(model.Spec{Team: []string{"red", "blue", "free"}[r.IntN(3)], Tasks: 66, Resources: model.Resources{CPUs: 1, GPUs: float64(2 + r.IntN(7))}, Image: "i",
 			Priority: model.Priority(r.IntN(4)), EstimateS: 60, DeadlineS: float64(30 + r.IntN(600))})
 	}
 	b.ReportAllocs()
@@ -244,7 +244,7 @@
 func TestBoundToAFullZone(t *testing.T) {
 	w := newWorld(1, 4) // m000 and m002 in x, the others in y
 	spec := func(tasks int, kind model.Kind) model.Spec {
-		return model.Spec{Team: "free", Kind: kind, Tasks: tasks, Image: "i", Need: model.Need{CPUs: 1, GPUs: 4}, OneZone: true, Spot: true, EstimateS: 60}
+		return model.Spec{Team: "free", Kind: kind, Tasks: tasks, Image: "i", Resources: model.Resources{CPUs: 1, GPUs: 4}, OneZone: true, Spot: true, EstimateS: 60}
 	}
 	run := func(js ...*ledger.Job) { Run(w.l, w.v, js, func(*ledger.Job) {}) }
 	full := w.job(spec(6, model.Array))
@@ -259,20 +259,20 @@
 		}
 	}
 	w = newWorld(2, 5) // x has three machines, y two
-	for i, m := range w.l.Sorted() {
+	for i, m := range w.l.MachinesByName() {
 		if m.Zone == "x" && i > 0 {
 			w.l.Plan(w.job(spec(1, model.Array)), 0, 1, m)
 		}
 	}
-	m := w.l.Sorted()[0]
+	m := w.l.MachinesByName()[0]
 	m.Images["i"], m.Zone = w.v.Now, "x" // the best machine for a single task
 	wide := w.job(spec(4, model.Array))
-	for _, o := range w.l.Sorted() {
+	for _, o := range w.l.MachinesByName() {
 		if o.Zone == "x" && o != m {
 			w.l.Plan(w.job(spec(1, model.Array)), 0, 1, o)
 		}
 	}
 	if run(wide); wide.Placed != 4 {
-		t.Errorf("%d of 4 tasks were placed, %s has room for all: %q", wide.Placed, "y", wide.Waits)
+		t.Errorf("%d of 4 tasks were placed, %s has room for all: %q", wide.Placed, "y", wide.WaitReason)
 	}
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -50,7 +50,7 @@
 		return 0, true
 	}
 	if p.Phase != model.Running && p.Phase != model.Saving {
-		return 2 + (now-p.Since).Seconds()/2, true
+		return 2 + (now-p.PlacedAt).Seconds()/2, true
 	}
 	ran := (now - p.RunSince).Seconds()
 	cost := ran
@@ -102,7 +102,7 @@
 		return true
 	}
 	u := t.Used
-	return (t.GPUs > 0 && u.GPUs-p.Job.Spec.Need.GPUs >= t.GPUs-1e-6) || (t.CPUs > 0 && u.CPUs-p.Job.Spec.Need.CPUs >= t.CPUs-1e-6)
+	return (t.GPUs > 0 && u.GPUs-p.Job.Spec.Resources.GPUs >= t.GPUs-1e-6) || (t.CPUs > 0 && u.CPUs-p.Job.Spec.Resources.CPUs >= t.CPUs-1e-6)
 }
 
 // Preemptor chooses tasks to stop for the jobs of a pass. It computes once per machine
@@ -117,9 +117,9 @@
 
 // preemptible describes what could be freed on a machine, regardless of the job.
 type preemptible struct {
-	taskCount int        // number of tasks on the machine when this was computed
-	free      model.Need // free capacity, with that of tasks that are being stopped
-	victims   []victim   // sorted by loss
+	taskCount int             // number of tasks on the machine when this was computed
+	free      model.Resources // free capacity, with that of tasks that are being stopped
+	victims   []victim        // sorted by loss
 }
 
 // failedRequest is a request for which stopping tasks could not free enough capacity.
@@ -136,13 +136,13 @@
 }
 
 func (st *Preemptor) optionsOn(m *ledger.Machine) *preemptible {
-	if s := st.byMachine[m]; s != nil && s.taskCount == len(m.P) {
+	if s := st.byMachine[m]; s != nil && s.taskCount == len(m.Placements) {
 		return s
 	}
-	s := &preemptible{taskCount: len(m.P), free: m.Free()}
-	for _, p := range m.P {
+	s := &preemptible{taskCount: len(m.Placements), free: m.Free()}
+	for _, p := range m.Placements {
 		if p.Stopping {
-			s.free = s.free.Add(p.Job.Spec.Need)
+			s.free = s.free.Add(p.Job.Spec.Resources)
 		} else if c, ok := lossOf(p, st.v.Now); ok {
 			s.victims = append(s.victims, victim{p, c})
 		}
@@ -157,7 +157,7 @@
 func (st *Preemptor) knownToFail(j *ledger.Job, n int, image string) bool {
 	for _, f := range st.failedRequests {
 		if f.n <= n && f.claim == st.claims[j] && f.image == image && f.j.Spec.Priority >= j.Spec.Priority && f.j.Spec.Team == j.Spec.Team &&
-			f.j.Spec.Kind == j.Spec.Kind && f.j.Spec.Need.Fits(j.Spec.Need) && SameConstraints(f.j.Spec, j.Spec) {
+			f.j.Spec.Kind == j.Spec.Kind && f.j.Spec.Resources.Fits(j.Spec.Resources) && SameConstraints(f.j.Spec, j.Spec) {
 			return true
 		}
 	}
@@ -178,15 +178,15 @@
 		return nil
 	}
 	if s.Kind == model.Gang {
-		if !team.Within(s.Need.Times(float64(n))) {
+		if !team.WithinLimit(s.Resources.Times(float64(n))) {
 			return nil
 		}
 	} else {
-		for n > 0 && !team.Within(s.Need.Times(float64(n))) {
+		for n > 0 && !team.WithinLimit(s.Resources.Times(float64(n))) {
 			n--
 		}
 	}
-	if n = min(n, l.UnitsFor(j)); s.Kind == model.Gang && n < j.Idle() {
+	if n = min(n, l.TasksWithinUnits(j)); s.Kind == model.Gang && n < j.Idle() {
 		return st.preemptForUnits(j) // capacity without units would not help the job
 	}
 	if n <= 0 {
@@ -219,7 +219,7 @@
 		}
 		options := st.optionsOn(m)
 		free := options.free
-		if len(options.victims) == 0 && !s.Need.Fits(free) {
+		if len(options.victims) == 0 && !s.Resources.Fits(free) {
 			continue
 		}
 		vs = vs[:0]
@@ -238,16 +238,16 @@
 			slices.SortStableFunc(vs, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
 		}
 		o := option{m: m}
-		for i := 0; i < len(vs) && !s.Need.Fits(free); i++ {
-			free = free.Add(vs[i].p.Job.Spec.Need)
+		for i := 0; i < len(vs) && !s.Resources.Fits(free); i++ {
+			free = free.Add(vs[i].p.Job.Spec.Resources)
 			o.stop = append(o.stop, vs[i].p)
 			o.cost += vs[i].loss
 		}
-		if !s.Need.Fits(free) {
+		if !s.Resources.Fits(free) {
 			continue
 		}
-		for s.Need.Fits(free) && o.slots < n {
-			free = free.Sub(s.Need)
+		for s.Resources.Fits(free) && o.slots < n {
+			free = free.Sub(s.Resources)
 			o.slots++
 		}
 		// A machine without the image has to fetch it first.
@@ -333,7 +333,7 @@
 		return nil
 	}
 	fetch := time.Duration(0)
-	free, _ := pickGang(l, v, v.Machines, j, len(j.Tasks)-j.NDone)
+	free, _ := pickGang(l, v, v.Machines, j, len(j.Tasks)-j.DoneTasks)
 	for _, m := range free {
 		fetch = max(fetch, fetchTime(l, j, m))
 	}
--- a/internal/placement/project.go
+++ b/internal/placement/project.go
@@ -17,15 +17,15 @@
 	Type string
 	Zone string
 	Spot bool
-	Cap  model.Need
-	free model.Need
+	Cap  model.Resources
+	free model.Resources
 	at   time.Duration // time from which the free capacity can be used
 	ends []projectedEnd
 }
 
 type projectedEnd struct {
 	at   time.Duration
-	need model.Need
+	need model.Resources
 	prio model.Priority
 	// retaken means that future jobs of this priority will take the capacity again when it
 	// becomes free.
@@ -97,7 +97,7 @@
 	pr := &Projection{now: v.Now, types: l.Types, retaken: retaken, queuedTeams: queued}
 	n := 0
 	for _, m := range v.Machines {
-		n += len(m.P)
+		n += len(m.Placements)
 	}
 	machines := make([]ProjectedMachine, len(v.Machines))
 	ends := make([]projectedEnd, 0, n)
@@ -107,13 +107,13 @@
 		*s = ProjectedMachine{M: m, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap, free: m.Free(), at: v.Now}
 		t := l.Types[m.Type]
 		k := len(ends)
-		for _, p := range m.P {
+		for _, p := range m.Placements {
 			fetch := 0.0
 			if t != nil && t.FetchGBs > 0 {
 				fetch = p.Job.Spec.ImageGB / t.FetchGBs
 			}
 			prio := p.Job.Spec.Priority
-			ends = append(ends, projectedEnd{v.Now + remainingRun(p, v.Now, fetch), p.Job.Spec.Need, prio, pr.nextIsRetaken(prio), queued[p.Job.Spec.Team]})
+			ends = append(ends, projectedEnd{v.Now + remainingRun(p, v.Now, fetch), p.Job.Spec.Resources, prio, pr.nextIsRetaken(prio), queued[p.Job.Spec.Team]})
 		}
 		s.ends = ends[k:len(ends):len(ends)]
 		slices.SortFunc(s.ends, func(a, b projectedEnd) int { return cmp.Compare(a.at, b.at) })
@@ -131,11 +131,11 @@
 
 func (s *ProjectedMachine) allows(j *ledger.Job) bool {
 	sp := j.Spec
-	return sp.AllowsType(s.Type) && (sp.Zone == "" || sp.Zone == s.Zone) && (j.Zone == "" || j.Zone == s.Zone) && (sp.Spot || !s.Spot) && (s.M == nil || j.MayListen(s.M))
+	return sp.AllowsType(s.Type) && (sp.Zone == "" || sp.Zone == s.Zone) && (j.Zone == "" || j.Zone == s.Zone) && (sp.Spot || !s.Spot) && (s.M == nil || j.AnyPortFree(s.M))
 }
 
 // earliest returns when the need first fits on the machine.
-func (s *ProjectedMachine) earliest(n model.Need, prio model.Priority) (time.Duration, bool) {
+func (s *ProjectedMachine) earliest(n model.Resources, prio model.Priority) (time.Duration, bool) {
 	if n.Fits(s.free) {
 		return s.at, true
 	}
@@ -156,7 +156,7 @@
 // book occupies capacity of the machine from the given time on, for as long as the job
 // runs. retaken and queued mark the end of the run.
 func (s *ProjectedMachine) book(at time.Duration, j *ledger.Job, held, queued bool) {
-	n, prio := j.Spec.Need, j.Spec.Priority
+	n, prio := j.Spec.Resources, j.Spec.Priority
 	k := 0
 	for i := range s.ends {
 		if e := s.ends[i]; !n.Fits(s.free) && e.counts(prio) {
@@ -215,7 +215,7 @@
 	if !s.allows(q.j) {
 		return false
 	}
-	t, ok := s.earliest(q.j.Spec.Need, q.j.Spec.Priority)
+	t, ok := s.earliest(q.j.Spec.Resources, q.j.Spec.Priority)
 	if ok {
 		q.h = append(q.h, runnableAt{s, t + q.pr.fetchTime(q.j, s)})
 	}
@@ -257,7 +257,7 @@
 	r := q.h[0]
 	r.machine.book(r.at, q.j, q.pr.nextIsRetaken(q.j.Spec.Priority), q.pr.queuedTeams[q.j.Spec.Team])
 	// Tasks that share one port can not run on the same machine.
-	if t, ok := r.machine.earliest(q.j.Spec.Need, q.j.Spec.Priority); ok && (q.j.Port == 0 || q.j.PerTask) {
+	if t, ok := r.machine.earliest(q.j.Spec.Resources, q.j.Spec.Priority); ok && (q.j.Port == 0 || q.j.PerTask) {
 		q.h[0].at = t + q.pr.fetchTime(q.j, r.machine)
 		heap.Fix(q, 0)
 	} else {
@@ -281,7 +281,7 @@
 		if !s.allows(j) || (zone != "" && s.Zone != zone) {
 			continue
 		}
-		if t, ok := s.earliest(j.Spec.Need, j.Spec.Priority); ok {
+		if t, ok := s.earliest(j.Spec.Resources, j.Spec.Priority); ok {
 			cs = append(cs, runnableAt{s, t + pr.fetchTime(j, s)})
 		}
 	}
@@ -309,7 +309,7 @@
 		if !s.allows(j) {
 			continue
 		}
-		if t, ok := s.earliest(j.Spec.Need, j.Spec.Priority); ok && t+pr.fetchTime(j, s) <= by {
+		if t, ok := s.earliest(j.Spec.Resources, j.Spec.Priority); ok && t+pr.fetchTime(j, s) <= by {
 			out[s.Zone]++
 		}
 	}
--- a/internal/placement/project_test.go
+++ b/internal/placement/project_test.go
@@ -14,7 +14,7 @@
 func TestWhatIsTakenAgain(t *testing.T) {
 	w := newWorld(1, 4)
 	spec := func(team string, prio model.Priority, tasks int, s float64) model.Spec {
-		return model.Spec{Team: team, Tasks: tasks, Priority: prio, Image: "i", Need: model.Need{CPUs: 1, GPUs: 1}, EstimateS: s, Spot: true}
+		return model.Spec{Team: team, Tasks: tasks, Priority: prio, Image: "i", Resources: model.Resources{CPUs: 1, GPUs: 1}, EstimateS: s, Spot: true}
 	}
 	w.job(spec("free", model.High, 16, 10))
 	w.job(spec("red", model.Low, 8, 60))
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -20,7 +20,7 @@
 // failedNeed records that no allowed machine had room for n tasks of this need.
 type failedNeed struct {
 	spec *model.Spec
-	need model.Need
+	need model.Resources
 	n    int
 }
 
@@ -49,7 +49,7 @@
 // for no more tasks at once, has found no room.
 func (r *machineIndex) knownToFail(s *model.Spec, n int) bool {
 	for _, f := range r.failed {
-		if f.n <= n && f.need.Fits(s.Need) && SameConstraints(f.spec, s) {
+		if f.n <= n && f.need.Fits(s.Resources) && SameConstraints(f.spec, s) {
 			return true
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 func (r *machineIndex) recordMiss(s *model.Spec, n int) {
-	r.failed = append(r.failed, failedNeed{s, s.Need, n})
+	r.failed = append(r.failed, failedNeed{s, s.Resources, n})
 }
 
 // SameConstraints reports whether two jobs may use the same machines.
@@ -68,10 +68,10 @@
 
 // countSlots returns how many tasks of the given need fit into the free capacity, at most
 // most. It counts one if the need is empty.
-func countSlots(free, need model.Need, most int) (n int) {
+func countSlots(free, need model.Resources, most int) (n int) {
 	for n < most && need.Fits(free) {
 		n++
-		if need == (model.Need{}) {
+		if need == (model.Resources{}) {
 			break
 		}
 		free = free.Sub(need)
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -16,8 +16,8 @@
 		// of it is already there.
 		others := 0
 		same := false
-		for i, p := range m.P {
-			if p.Phase != model.Fetching && p.Seen {
+		for i, p := range m.Placements {
+			if p.Phase != model.Fetching && p.SeenInReport {
 				continue
 			}
 			image := p.Job.Spec.Image
@@ -26,8 +26,8 @@
 				continue
 			}
 			counted := false
-			for _, q := range m.P[:i] {
-				counted = counted || (q.Phase == model.Fetching || !q.Seen) && q.Job.Spec.Image == image
+			for _, q := range m.Placements[:i] {
+				counted = counted || (q.Phase == model.Fetching || !q.SeenInReport) && q.Job.Spec.Image == image
 			}
 			if !counted {
 				others++
@@ -42,21 +42,21 @@
 	if j.Spec.Kind != model.Service {
 		s -= (m.Pace.Factor() - 1) * j.EstimateS()
 	}
-	if j.Spec.Priority >= model.High && m.Kept() >= ledger.DirectStarts(j.Spec.Priority) {
+	if j.Spec.Priority >= model.High && m.TrackedStarts() >= ledger.MaxDirectStarts(j.Spec.Priority) {
 		// The start is sent in the answer to the worker's next report, which comes sooner
 		// from busy workers. Jobs of lower priority can wait for it, and go where they
 		// fill machines best.
-		s -= min(m.Gap, v.ReportInterval).Seconds() / 2
+		s -= min(m.ReportGap, v.ReportInterval).Seconds() / 2
 	}
 	// Prefer machines that are in use to empty ones.
 	used := 0.0
 	if m.Cap.GPUs > 0 {
-		used = (m.Used.GPUs + j.Spec.Need.GPUs) / m.Cap.GPUs
+		used = (m.Used.GPUs + j.Spec.Resources.GPUs) / m.Cap.GPUs
 	} else if m.Cap.CPUs > 0 {
-		used = (m.Used.CPUs + j.Spec.Need.CPUs) / m.Cap.CPUs
+		used = (m.Used.CPUs + j.Spec.Resources.CPUs) / m.Cap.CPUs
 	}
 	s += 15 * used
-	if len(m.P) > 0 {
+	if len(m.Placements) > 0 {
 		s += 5
 	}
 	if m.Spot {
@@ -89,5 +89,5 @@
 	if s.Kind == model.Gang {
 		lost *= float64(len(j.Tasks))
 	}
-	return l.SpotRisk() * run * lost
+	return l.SpotInterruptionRate() * run * lost
 }
