--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -97,7 +97,7 @@
 // off.
 const cutOffAfter = 700 * time.Millisecond
 
-func (a *Actor) cutOff() bool { return a.env.Now()-a.store.Contact() >= cutOffAfter }
+func (a *Actor) cutOff() bool { return a.env.Now()-a.store.LastContact() >= cutOffAfter }
 
 func (a *Actor) serve(r *httpx.Request, reply func(httpx.Response)) bool {
 	switch {
@@ -307,7 +307,7 @@
 				}
 				a.replyWithJob(s.ID, it, reply)
 			})
-		case statestore.Maybe:
+		case statestore.Unknown:
 			if tries > 3 || tries > 0 && !a.cutOff() {
 				a.create(s, t, nonce, tries-1, reply)
 				return
@@ -420,7 +420,7 @@
 				_, placed, _ := a.countTasks(id, rec.Chunks())
 				a.env.Log().Info("job cancelled", "job", id, "placed", placed)
 				reply(httpx.Response{Status: 200, Body: wire.Encode(wire.JobState{Ref: id, Phase: wire.JobCancelled})})
-			case (r == statestore.Conflict || r == statestore.Maybe) && tries > 0:
+			case (r == statestore.Conflict || r == statestore.Unknown) && tries > 0:
 				// Read the record again: the job may be done, or an earlier copy of this write
 				// may have been applied.
 				a.env.After(20*time.Millisecond, func() { a.cancel(id, tries-1, reply) })
--- a/internal/cancellation/cancellation.go
+++ b/internal/cancellation/cancellation.go
@@ -1,17 +1,19 @@
-// Package cancellation is what controllers tell a leader of cancellations, so that it knows until
-// when nobody can have told a user of one that it doesn't know of.
+// Package cancellation exchanges known cancellations between the controllers and the leader,
+// so that the leader knows up to which time it knows every cancellation that a user was
+// informed of.
 //
-// A leader that the state service doesn't answer may keep workers' leases alive for the hold
-// only: a job may have been cancelled through another node. But only nodes tell users, and
-// each knows what it has told. A leader that hears from every other node "this is all that I
-// know of beyond your revision", knows that nothing else was told before it asked, and its
-// hold counts from then. In an outage for all, work goes on for as long as the controllers
-// hear each other; a leader that is refused alone learns of cancellations at once.
+// A leader that the state service doesn't answer may renew workers' leases only for a limited
+// time, the hold, since a job may have been cancelled through another node. But only nodes
+// inform users, and each node knows the cancellations in its replica. When every other node has
+// answered that it has sent all that it knows beyond the leader's revision, no user was informed
+// of any other cancellation before the question was asked, and the hold counts from then.
+// In an outage of the state service, work continues for as long as the controllers reach each
+// other; a leader that alone has lost the state service learns of cancellations at once.
 //
-// What it relies on: a node tells a user of a cancellation only after its replica has had the
-// record (statestore.Commit, Read, Get put it there first); a node that has been elected says
-// nothing to another leader any more, so that no leader answers for longer than the hold
-// after the next one's election.
+// The protocol relies on two rules. A node informs a user of a cancellation only after the
+// record is in its replica (statestore.Commit, Read and Get put it there first). A node that
+// was elected no longer answers another leader, so that no leader answers workers for
+// longer than the hold after the next leader's election.
 package cancellation
 
 import (
@@ -23,38 +25,38 @@
 )
 
 const (
-	// So many cancellations a node remembers; a leader that lags by more is told that it
-	// doesn't hear all.
-	kept = 64
-	// So many bytes of them at most are in one message.
-	mostBytes = 24 << 10
+	// maxRecent is how many cancellations a node remembers. The answer to a leader that
+	// lags by more is marked as incomplete.
+	maxRecent = 64
+	// maxAnswerBytes bounds the size of the records in one answer.
+	maxAnswerBytes = 24 << 10
 )
 
-// Record is the record of a cancelled job, as the state service has it.
+// Record is the record of a cancelled job as the state service stores it.
 type Record struct {
 	Key   string `cbor:"1,keyasint"`
 	Value []byte `cbor:"2,keyasint"`
 	Stamp uint64 `cbor:"3,keyasint"`
 }
 
-// Question is what a leader says with each status: its token, its clock in milliseconds,
-// and the revision up to which it knows everything.
+// Question is part of each status that a leader sends: its token, its clock in
+// milliseconds, and the revision up to which its replica is complete.
 type Question struct {
 	Token uint64 `cbor:"1,keyasint"`
 	Clock uint64 `cbor:"2,keyasint"`
 	Epoch uint64 `cbor:"3,keyasint"`
 }
 
-// Answer is what a node knows beyond the question's revision. All says that there is nothing
-// else that it may have told anybody.
+// Answer has the cancellations that a node knows beyond the question's revision. Complete
+// says that the node can have informed users of no others.
 type Answer struct {
-	Token   uint64   `cbor:"1,keyasint"`
-	Clock   uint64   `cbor:"2,keyasint"`
-	Records []Record `cbor:"3,keyasint,omitempty"`
-	All     bool     `cbor:"4,keyasint,omitempty"`
+	Token    uint64   `cbor:"1,keyasint"`
+	Clock    uint64   `cbor:"2,keyasint"`
+	Records  []Record `cbor:"3,keyasint,omitempty"`
+	Complete bool     `cbor:"4,keyasint,omitempty"`
 }
 
-// Store is the part of the replica (statestore.Store) that a Teller sees.
+// Store is the part of the replica (statestore.Store) that a Responder uses.
 type Store interface {
 	Subscribe(f func(key string, it *statestore.Item))
 	OnResync(f func())
@@ -62,116 +64,118 @@
 	Synced() bool
 }
 
-// Teller remembers the cancellations that a node knows of.
-type Teller struct {
+// Responder remembers the recent cancellations that a node knows, and answers the leader's
+// questions about them.
+type Responder struct {
 	store  Store
-	recent []Record // by revision
-	// from is the revision up to which some may be missing in recent.
-	from uint64
-	last Question
+	recent []Record // ordered by revision
+	// incompleteUpTo is the revision up to which recent may lack cancellations.
+	incompleteUpTo uint64
+	lastQuestion   Question
 }
 
-// NewTeller makes the teller of a node.
-func NewTeller(store Store) *Teller {
-	t := &Teller{store: store}
-	store.Subscribe(t.changed)
+// NewResponder returns the responder of a node.
+func NewResponder(store Store) *Responder {
+	r := &Responder{store: store}
+	store.Subscribe(r.handleChange)
 	store.OnResync(func() {
-		// Single changes were missed: whatever is known now may be one of them.
-		for _, r := range t.recent {
-			t.from = max(t.from, r.Stamp)
+		// Individual changes were missed: any record in the replica may be one of them.
+		for _, known := range r.recent {
+			r.incompleteUpTo = max(r.incompleteUpTo, known.Stamp)
 		}
-		t.recent = nil
-		store.Each(ledger.JobPrefix, func(_ string, it statestore.Item) { t.from = max(t.from, it.Stamp) })
+		r.recent = nil
+		store.Each(ledger.JobPrefix, func(_ string, it statestore.Item) { r.incompleteUpTo = max(r.incompleteUpTo, it.Stamp) })
 	})
-	return t
+	return r
 }
 
-func (t *Teller) changed(key string, it *statestore.Item) {
+func (r *Responder) handleChange(key string, it *statestore.Item) {
 	if it == nil || len(key) <= len(ledger.JobPrefix) || key[:len(ledger.JobPrefix)] != ledger.JobPrefix {
 		return
 	}
 	rec, err := ledger.DecodeRecord(key[len(ledger.JobPrefix):], it.Value)
 	if err != nil {
-		t.from = max(t.from, it.Stamp) // it may be anything
+		r.incompleteUpTo = max(r.incompleteUpTo, it.Stamp) // it may be a cancellation
 		return
 	}
 	if rec.Final != ledger.Cancelled {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(t.recent, it.Stamp, func(r Record, s uint64) int {
-		if r.Stamp < s {
+	i, _ := slices.BinarySearchFunc(r.recent, it.Stamp, func(known Record, stamp uint64) int {
+		if known.Stamp < stamp {
 			return -1
 		}
 		return 1
 	})
-	t.recent = slices.Insert(t.recent, i, Record{key, it.Value, it.Stamp})
-	if len(t.recent) > kept {
-		t.from = max(t.from, t.recent[0].Stamp)
-		t.recent = slices.Delete(t.recent, 0, 1)
+	r.recent = slices.Insert(r.recent, i, Record{key, it.Value, it.Stamp})
+	if len(r.recent) > maxRecent {
+		r.incompleteUpTo = max(r.incompleteUpTo, r.recent[0].Stamp)
+		r.recent = slices.Delete(r.recent, 0, 1)
 	}
 }
 
-// Asked notes what a leader said. Only the newest leader's questions are answered.
-func (t *Teller) Asked(q Question) {
-	if q.Token > t.last.Token || q.Token == t.last.Token && q.Clock >= t.last.Clock {
-		t.last = q
+// HandleQuestion stores a leader's question if it is the newest question of the newest leader.
+func (r *Responder) HandleQuestion(q Question) {
+	if q.Token > r.lastQuestion.Token || q.Token == r.lastQuestion.Token && q.Clock >= r.lastQuestion.Clock {
+		r.lastQuestion = q
 	}
 }
 
-// Tell answers the last question; nil if there is none, or if the node was elected itself:
-// the hold of the leader before it runs from then at the latest, by which time its workers'
-// tasks are counted as gone (workers.DeadAt).
-func (t *Teller) Tell(elected bool) *Answer {
-	if t.last.Token == 0 || elected {
+// Respond answers the last question. It returns nil if there is none, or if the node was
+// elected itself: the previous leader's hold then counts from that election at the latest,
+// as workers.Actor.LeaseExpiry assumes.
+func (r *Responder) Respond(elected bool) *Answer {
+	if r.lastQuestion.Token == 0 || elected {
 		return nil
 	}
-	a := &Answer{Token: t.last.Token, Clock: t.last.Clock, All: t.store.Synced() && t.last.Epoch >= t.from}
+	a := &Answer{Token: r.lastQuestion.Token, Clock: r.lastQuestion.Clock, Complete: r.store.Synced() && r.lastQuestion.Epoch >= r.incompleteUpTo}
 	size := 0
-	for _, r := range t.recent {
-		if r.Stamp <= t.last.Epoch {
+	for _, known := range r.recent {
+		if known.Stamp <= r.lastQuestion.Epoch {
 			continue
 		}
-		if size += len(r.Key) + len(r.Value); size > mostBytes {
-			a.All = false
+		if size += len(known.Key) + len(known.Value); size > maxAnswerBytes {
+			a.Complete = false
 			break
 		}
-		a.Records = append(a.Records, r)
+		a.Records = append(a.Records, known)
 	}
 	return a
 }
 
-// Listener is a leader's, of one term.
-type Listener struct {
-	token uint64
-	clear map[string]time.Duration
+// Tracker collects the answers that a leader receives in one term.
+type Tracker struct {
+	token         uint64
+	completeUntil map[string]time.Duration
 }
 
-// NewListener makes the listener of a term; peers are the labels of all other nodes.
-func NewListener(token uint64, peers []string) *Listener {
-	l := &Listener{token: token, clear: map[string]time.Duration{}}
+// NewTracker returns the tracker of a term. peers are the labels of all other nodes.
+func NewTracker(token uint64, peers []string) *Tracker {
+	t := &Tracker{token: token, completeUntil: map[string]time.Duration{}}
 	for _, p := range peers {
-		l.clear[p] = -1
+		t.completeUntil[p] = -1
 	}
-	return l
+	return t
 }
 
-// Ask is the question at a time of the leader's clock, with the revision that it knows.
-func (l *Listener) Ask(now time.Duration, epoch uint64) *Question {
-	return &Question{Token: l.token, Clock: uint64(now.Milliseconds()), Epoch: epoch}
+// NewQuestion returns the leader's question at the given time of its clock, with the revision
+// up to which its replica is complete.
+func (t *Tracker) NewQuestion(now time.Duration, epoch uint64) *Question {
+	return &Question{Token: t.token, Clock: uint64(now.Milliseconds()), Epoch: epoch}
 }
 
-// Heard takes in an answer whose records the leader has learned.
-func (l *Listener) Heard(label string, a *Answer) {
-	if at, ok := l.clear[label]; ok && a != nil && a.All && a.Token == l.token {
-		l.clear[label] = max(at, time.Duration(a.Clock)*time.Millisecond)
+// HandleAnswer processes an answer after the leader has added its records to the replica.
+func (t *Tracker) HandleAnswer(label string, a *Answer) {
+	if at, ok := t.completeUntil[label]; ok && a != nil && a.Complete && a.Token == t.token {
+		t.completeUntil[label] = max(at, time.Duration(a.Clock)*time.Millisecond)
 	}
 }
 
-// Clear is until when nobody else can have told a user of a cancellation that the leader
-// doesn't know of; less than 0 if that isn't known.
-func (l *Listener) Clear(now time.Duration) time.Duration {
+// CompleteUntil is the time up to which the leader knows every cancellation that another
+// node has informed a user of; less than 0 if no such time is known.
+func (t *Tracker) CompleteUntil(now time.Duration) time.Duration {
 	at := now
-	for _, c := range l.clear {
+	for _, c := range t.completeUntil {
 		at = min(at, c)
 	}
 	return at
--- a/internal/cancellation/cancellation_test.go
+++ b/internal/cancellation/cancellation_test.go
@@ -14,7 +14,7 @@
 	"brooklb/internal/statestore"
 )
 
-// replica is a node's store by hand.
+// replica is a node's store, which the test changes directly.
 type replica struct {
 	items  map[string]statestore.Item
 	epoch  uint64
@@ -49,47 +49,47 @@
 
 func id(i int) string { return fmt.Sprintf("j-%06d", i) }
 
-// node is one controller of the model, with what it has under way.
+// node is one controller of the simulation.
 type node struct {
 	*replica
-	t       *Teller
-	elected bool
+	responder *Responder
+	elected   bool
 }
 
-func start() *node {
+func newNode() *node {
 	n := &node{replica: &replica{items: map[string]statestore.Item{}}}
-	n.t = NewTeller(n.replica)
+	n.responder = NewResponder(n.replica)
 	return n
 }
 
-// told is a cancellation that a user was told of.
-type told struct {
+// userAnswer is a cancellation that a user was informed of.
+type userAnswer struct {
 	key   string
 	stamp uint64
 	at    time.Duration
 }
 
-// TestNothingUnknownWasTold plays random days of one leader (node 0) and two other nodes
-// with the real Teller and Listener: cancellations through any node, told at once or later;
-// watches that lag; reads of single records; replicas read anew; nodes that the state service
-// refuses, that end and come back, that are elected; messages that arrive late, in any order
-// and twice. At no moment does the leader take the time as clear in which somebody told a
-// user of a cancellation that it doesn't know of, or in which another was elected.
-func TestNothingUnknownWasTold(t *testing.T) {
+// TestNoUnknownCancellationReported simulates random histories of one leader (node 0) and two
+// other nodes with the real Responder and Tracker: cancellations through any node, of which
+// users learn at once or later; watches that lag; reads of single records; replicas that are read
+// again; nodes that the state service refuses, that restart or are elected; messages that
+// arrive late, in any order and twice. CompleteUntil never passes a time at which a user
+// learned of a cancellation that the leader doesn't know, or at which another node was elected.
+func TestNoUnknownCancellationReported(t *testing.T) {
 	seeds := 3000
 	if s, err := strconv.Atoi(os.Getenv("SIM_SEEDS")); err == nil {
 		seeds = s
 	}
-	cleared := 0
+	stepsWithTime := 0
 	for seed := range uint64(seeds) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		now := time.Second
-		state := map[string]statestore.Item{} // as the state service has it
+		state := map[string]statestore.Item{} // of the state service
 		epoch := uint64(1)
-		nodes := []*node{start(), start(), start()}
+		nodes := []*node{newNode(), newNode(), newNode()}
 		peers := []string{"1", "2"}
-		l := NewListener(7, peers)
-		var users []told
+		tracker := NewTracker(7, peers)
+		var userAnswers []userAnswer
 		var electedAt time.Duration
 		refused := make([]bool, 3)
 		type question struct {
@@ -100,10 +100,10 @@
 			from int
 			a    Answer
 		}
-		var asks []question
+		var questions []question
 		var answers []answer
-		sync := func(n *node) {
-			if n.synced { // read anew
+		readReplica := func(n *node) {
+			if n.synced { // a resync
 				n.items = map[string]statestore.Item{}
 				for k, it := range state {
 					n.items[k] = it
@@ -120,7 +120,7 @@
 			n.epoch, n.synced = epoch, true
 		}
 		for _, n := range nodes {
-			sync(n)
+			readReplica(n)
 		}
 		for step := range 250 {
 			k := r.IntN(3)
@@ -135,29 +135,29 @@
 					it := statestore.Item{Value: record(t, step, ledger.Cancelled), Stamp: epoch}
 					state[key] = it
 					n.put(key, it)
-					users = append(users, told{key, epoch, now})
+					userAnswers = append(userAnswers, userAnswer{key, epoch, now})
 				}
 			case 4: // another record changes
 				epoch++
 				state[ledger.JobKey(id(1000+step))] = statestore.Item{Value: record(t, 1000+step, ledger.Open), Stamp: epoch}
-			case 5: // the watch
+			case 5: // the watch delivers all changes
 				if !refused[k] && n.synced {
 					for key, it := range state {
 						n.put(key, it)
 					}
 					n.epoch = epoch
 				}
-			case 6: // a poll reads one record
+			case 6: // a user's poll reads one record
 				if !refused[k] && n.synced {
 					for key, it := range state {
 						n.put(key, it)
 						if rec, _ := ledger.DecodeRecord(key[len(ledger.JobPrefix):], it.Value); rec.Final == ledger.Cancelled {
-							users = append(users, told{key, it.Stamp, now})
+							userAnswers = append(userAnswers, userAnswer{key, it.Stamp, now})
 						}
 						break
 					}
 				}
-			case 7: // refused, or an outage for all
+			case 7: // the state service refuses one node, or all in an outage
 				if r.IntN(3) == 0 {
 					for i := range refused {
 						refused[i] = true
@@ -167,132 +167,133 @@
 				}
 			case 8:
 				if k > 0 && r.IntN(3) == 0 {
-					nodes[k] = start()
+					nodes[k] = newNode()
 				} else if !refused[k] && (k > 0 || !n.synced) {
-					sync(n)
+					readReplica(n)
 				}
 			case 9:
 				for i := range peers {
-					asks = append(asks, question{1 + i, *l.Ask(now, nodes[0].epoch)})
+					questions = append(questions, question{1 + i, *tracker.NewQuestion(now, nodes[0].epoch)})
 				}
 			case 10, 11, 12, 13:
 				if k > 0 {
-					if a := n.t.Tell(n.elected); a != nil {
-						answers = append(answers, answer{k, Answer{a.Token, a.Clock, slices.Clone(a.Records), a.All}})
+					if a := n.responder.Respond(n.elected); a != nil {
+						answers = append(answers, answer{k, Answer{a.Token, a.Clock, slices.Clone(a.Records), a.Complete}})
 					}
 				}
 			case 14, 15, 16, 17:
-				if len(asks) > 0 {
-					q := asks[late(r, len(asks))] // in any order, and again
-					nodes[q.to].t.Asked(q.q)
+				if len(questions) > 0 {
+					q := questions[pickMessage(r, len(questions))] // in any order, and possibly twice
+					nodes[q.to].responder.HandleQuestion(q.q)
 				}
 			default:
 				if len(answers) > 0 {
-					a := answers[late(r, len(answers))]
+					a := answers[pickMessage(r, len(answers))]
 					for _, rec := range a.a.Records {
 						nodes[0].put(rec.Key, statestore.Item{Value: rec.Value, Stamp: rec.Stamp})
 					}
-					l.Heard(strconv.Itoa(a.from), &a.a)
+					tracker.HandleAnswer(strconv.Itoa(a.from), &a.a)
 				}
 				if k > 0 && electedAt == 0 && r.IntN(30) == 0 {
 					n.elected, electedAt = true, now
 				}
 			}
 			if electedAt > 0 && slices.IndexFunc(nodes, func(n *node) bool { return n.elected }) < 0 {
-				break // it ended: the next one's election counts
+				break // the elected node restarted: the next election counts
 			}
-			clear := l.Clear(now)
-			if clear > 0 {
-				cleared++
+			completeUntil := tracker.CompleteUntil(now)
+			if completeUntil > 0 {
+				stepsWithTime++
 			}
-			for _, u := range users {
-				if nodes[0].items[u.key].Stamp < u.stamp && clear > u.at {
-					t.Fatalf("seed %d, step %d: clear up to %v, a user was told of %s at %v", seed, step, clear, u.key, u.at)
+			for _, u := range userAnswers {
+				if nodes[0].items[u.key].Stamp < u.stamp && completeUntil > u.at {
+					t.Fatalf("seed %d, step %d: complete until %v, but a user was informed of %s at %v", seed, step, completeUntil, u.key, u.at)
 				}
 			}
-			if electedAt > 0 && clear > electedAt {
-				t.Fatalf("seed %d, step %d: clear up to %v, another was elected at %v", seed, step, clear, electedAt)
+			if electedAt > 0 && completeUntil > electedAt {
+				t.Fatalf("seed %d, step %d: complete until %v, but another node was elected at %v", seed, step, completeUntil, electedAt)
 			}
 		}
 	}
-	if cleared < seeds {
-		t.Errorf("the leader knew of a clear time in %d steps only", cleared)
+	if stepsWithTime < seeds {
+		t.Errorf("the leader's knowledge was complete up to some time in only %d steps", stepsWithTime)
 	}
-	t.Logf("%d steps with a clear time", cleared)
+	t.Logf("%d steps with complete knowledge up to some time", stepsWithTime)
 }
 
-// late picks one of the messages, mostly of the last ones.
-func late(r *rand.Rand, n int) int {
+// pickMessage returns the index of one of n messages, mostly of the latest ones.
+func pickMessage(r *rand.Rand, n int) int {
 	if r.IntN(4) == 0 {
 		return r.IntN(n)
 	}
 	return n - 1 - r.IntN(min(n, 6))
 }
 
-// TestMoreThanIsKept: a node that knows of more cancellations than it keeps, or than fit a
-// message, doesn't call it all.
+// TestMoreThanIsKept checks that the answer of a node is marked as incomplete if it lacks
+// cancellations that the node doesn't remember or that don't fit into a message.
 func TestMoreThanIsKept(t *testing.T) {
-	n := start()
+	n := newNode()
 	n.synced = true
-	for i := range kept + 10 {
+	for i := range maxRecent + 10 {
 		n.put(ledger.JobKey(id(i)), statestore.Item{Value: record(t, i, ledger.Cancelled), Stamp: uint64(10 + i)})
 	}
 	for _, c := range []struct {
 		epoch uint64
 		all   bool
 		n     int
-	}{{5, false, kept}, {18, false, kept}, {19, true, kept}, {10 + kept + 9, true, 0}} {
-		n.t.Asked(Question{Token: 7, Clock: c.epoch, Epoch: c.epoch})
-		if a := n.t.Tell(false); a.All != c.all || len(a.Records) != c.n {
-			t.Errorf("a leader that knows up to %d is told %d records, all %v", c.epoch, len(a.Records), a.All)
+	}{{5, false, maxRecent}, {18, false, maxRecent}, {19, true, maxRecent}, {10 + maxRecent + 9, true, 0}} {
+		n.responder.HandleQuestion(Question{Token: 7, Clock: c.epoch, Epoch: c.epoch})
+		if a := n.responder.Respond(false); a.Complete != c.all || len(a.Records) != c.n {
+			t.Errorf("a leader that knows up to %d gets %d records, complete %v", c.epoch, len(a.Records), a.Complete)
 		}
 	}
 	n.put(ledger.JobKey(id(500)), statestore.Item{Value: []byte(`{"v":99}`), Stamp: 500})
-	if a := n.t.Tell(false); a.All {
-		t.Error("a record that can't be read may be a cancellation")
+	if a := n.responder.Respond(false); a.Complete {
+		t.Error("answer is complete despite a record that can't be decoded, which may be a cancellation")
 	}
-	big := start()
+	big := newNode()
 	big.synced = true
 	for i := range 30 {
 		rec := ledger.NewRecord(&model.Spec{ID: id(i), Team: "t", Tasks: 1, Image: string(make([]byte, 300))}, 0, "", 48)
 		rec.Final = ledger.Cancelled
 		big.put(ledger.JobKey(id(i)), statestore.Item{Value: rec.Encode(), Stamp: uint64(10 + i)})
 	}
-	big.t.Asked(Question{Token: 7, Clock: 1, Epoch: 5})
-	if a := big.t.Tell(false); a.All || len(a.Records) == 0 || len(a.Records) == 30 {
-		t.Errorf("%d records in one message, all %v", len(a.Records), a.All)
+	big.responder.HandleQuestion(Question{Token: 7, Clock: 1, Epoch: 5})
+	if a := big.responder.Respond(false); a.Complete || len(a.Records) == 0 || len(a.Records) == 30 {
+		t.Errorf("%d records in one message, complete %v", len(a.Records), a.Complete)
 	}
-	if a := start().t; a.Tell(false) != nil {
-		t.Error("an answer without a question")
+	if a := newNode().responder; a.Respond(false) != nil {
+		t.Error("a node answered without a question")
 	}
 }
 
-// TestReadAnew: what came into the replica while single changes were missed is not told of,
-// and a leader that may not know it doesn't take the answer for all.
+// TestReadAnew checks that after a resync, which may have missed individual changes, the answer
+// to a leader that may lack one of them is marked as incomplete.
 func TestReadAnew(t *testing.T) {
-	n := start()
+	n := newNode()
 	n.synced = true
 	n.put(ledger.JobKey(id(1)), statestore.Item{Value: record(t, 1, ledger.Cancelled), Stamp: 40})
-	// The pages were read before this change, and have another that was missed.
+	// The resync read its pages before this change, and they contain another change that
+	// the watch had missed.
 	n.items = map[string]statestore.Item{ledger.JobKey(id(2)): {Value: record(t, 2, ledger.Cancelled), Stamp: 30}}
 	for _, f := range n.resync {
 		f()
 	}
 	for epoch, all := range map[uint64]bool{29: false, 39: false, 40: true} {
-		n.t.last = Question{}
-		n.t.Asked(Question{Token: 7, Clock: 1, Epoch: epoch})
-		if a := n.t.Tell(false); a.All != all {
-			t.Errorf("a leader that knows up to %d is told that it hears all: %v", epoch, a.All)
+		n.responder.lastQuestion = Question{}
+		n.responder.HandleQuestion(Question{Token: 7, Clock: 1, Epoch: epoch})
+		if a := n.responder.Respond(false); a.Complete != all {
+			t.Errorf("a leader that knows up to %d gets an answer with complete %v", epoch, a.Complete)
 		}
 	}
-	m := start()
+	m := newNode()
 	m.synced = true
 	m.items = map[string]statestore.Item{ledger.JobKey(id(2)): {Value: record(t, 2, ledger.Cancelled), Stamp: 30}}
 	for _, f := range m.resync {
 		f()
 	}
-	m.t.Asked(Question{Token: 7, Clock: 1, Epoch: 29})
-	if m.t.Tell(false).All {
-		t.Error("a record of the pages was overlooked")
+	m.responder.HandleQuestion(Question{Token: 7, Clock: 1, Epoch: 29})
+	if m.responder.Respond(false).Complete {
+		t.Error("answer is complete despite a missed change in the pages")
 	}
 }
--- a/internal/consolidate/consolidate_test.go
+++ b/internal/consolidate/consolidate_test.go
@@ -27,19 +27,19 @@
 func (e *env) Call(actor.Call)                              {}
 func (e *env) After(d time.Duration, f func()) *actor.Timer { return e.timers.Add(d, f) }
 
-type world struct {
+type testCluster struct {
 	t *testing.T
 	l *ledger.Ledger
 	v *placement.View
 	n int
 }
 
-// newWorld has machines a, b, c… with the given numbers of GPUs.
-func newWorld(t *testing.T, gpus ...float64) *world {
+// newTestCluster returns a cluster of machines a, b, c… with the given numbers of GPUs.
+func newTestCluster(t *testing.T, gpus ...float64) *testCluster {
 	e := &env{rng: rand.New(rand.NewPCG(1, 1))}
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 8}), 1,
 		[]settings.Team{{Name: "t"}})
-	w := &world{t: t, l: l, v: &placement.View{Now: e.Now(), SilentAfter: time.Minute, Holds: map[*ledger.Machine]*placement.Hold{}}}
+	c := &testCluster{t: t, l: l, v: &placement.View{Now: e.Now(), SilentAfter: time.Minute, Holds: map[*ledger.Machine]*placement.Hold{}}}
 	for i, g := range gpus {
 		name := string(rune('a' + i))
 		if i >= 26 {
@@ -51,195 +51,195 @@
 		m.Reported, m.LastReport = true, e.Now()
 		l.Describe(m, typ, "z", false)
 	}
-	return w
+	return c
 }
 
-func (w *world) job(kind model.Kind, gpus float64) *ledger.Job {
-	w.n++
-	return w.jobOf(model.Spec{ID: fmt.Sprintf("j-%d", w.n), Team: "t", Kind: kind, Tasks: 1, Resources: model.Resources{GPUs: gpus}, CheckpointS: 5, SaveS: 1, Priority: model.Normal})
+func (c *testCluster) job(kind model.Kind, gpus float64) *ledger.Job {
+	c.n++
+	return c.jobOf(model.Spec{ID: fmt.Sprintf("j-%d", c.n), Team: "t", Kind: kind, Tasks: 1, Resources: model.Resources{GPUs: gpus}, CheckpointS: 5, SaveS: 1, Priority: model.Normal})
 }
 
-func (w *world) jobOf(s model.Spec) *ledger.Job {
+func (c *testCluster) jobOf(s model.Spec) *ledger.Job {
 	rec := ledger.NewRecord(&s, 0, "", 48)
-	w.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(w.n)})
-	return w.l.Jobs[s.ID]
+	c.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(c.n)})
+	return c.l.Jobs[s.ID]
 }
 
-// run puts a running task of a new array on a machine.
-func (w *world) run(machine string, gpus float64) *ledger.Placement {
-	return w.place(w.job(model.Array, gpus), 0, machine)
+// run places a running task of a new array on a machine.
+func (c *testCluster) run(machine string, gpus float64) *ledger.Placement {
+	return c.place(c.job(model.Array, gpus), 0, machine)
 }
 
-func (w *world) place(j *ledger.Job, task int, machine string) *ledger.Placement {
-	p := w.l.Plan(j, task, 1, w.l.Machines[machine])
-	p.Durable, p.SeenInReport, p.Phase, p.RunSince = true, true, model.Running, w.v.Now-time.Second
+func (c *testCluster) place(j *ledger.Job, task int, machine string) *ledger.Placement {
+	p := c.l.Plan(j, task, 1, c.l.Machines[machine])
+	p.Durable, p.SeenInReport, p.Phase, p.RunSince = true, true, model.Running, c.v.Now-time.Second
 	return p
 }
 
-func (w *world) plan(j *ledger.Job, cfg Config) *Plan {
-	ms := placement.Candidates(w.l, w.v)
-	if Triggered(w.l, w.v, ms, []*ledger.Job{j}) == nil {
+func (c *testCluster) plan(j *ledger.Job, cfg Config) *Plan {
+	ms := placement.Candidates(c.l, c.v)
+	if FindBlockedJob(c.l, c.v, ms, []*ledger.Job{j}) == nil {
 		return nil
 	}
-	p := Run(w.l, w.v, ms, j, cfg, rand.New(rand.NewPCG(3, 3)))
+	p := Run(c.l, c.v, ms, j, cfg, rand.New(rand.NewPCG(3, 3)))
 	if p != nil {
-		w.check(p, cfg)
+		c.check(p, cfg)
 	}
 	return p
 }
 
-// check replays the moves from the last to the first: the end of a chain makes
-// room for what comes before it. In the end nothing may be over-full.
-func (w *world) check(p *Plan, cfg Config) {
-	w.t.Helper()
-	if len(p.Moves) > cfg.Moves {
-		w.t.Errorf("%d moves, at most %d are allowed", len(p.Moves), cfg.Moves)
+// check applies a plan's moves, and checks that each is allowed and that no machine has more
+// tasks afterwards than it has room for.
+func (c *testCluster) check(p *Plan, cfg Config) {
+	c.t.Helper()
+	if len(p.Moves) > cfg.MaxMoves {
+		c.t.Errorf("%d moves, at most %d are allowed", len(p.Moves), cfg.MaxMoves)
 	}
 	free := map[*ledger.Machine]model.Resources{}
-	for _, m := range w.l.Machines {
+	for _, m := range c.l.Machines {
 		free[m] = m.Free()
 	}
 	seen := map[*ledger.Placement]bool{}
 	for _, mv := range p.Moves {
 		if seen[mv.P] || mv.To == mv.P.Host || mv.To == p.Empty {
-			w.t.Errorf("bad move of %s from %s to %s", mv.P.Job.Spec.ID, mv.P.Host.Name, mv.To.Name)
+			c.t.Errorf("bad move of %s from %s to %s", mv.P.Job.Spec.ID, mv.P.Host.Name, mv.To.Name)
 		}
 		seen[mv.P] = true
-		if !Movable(mv.P, w.v.Now, cfg) || !placement.Allowed(mv.P.Job, mv.To) {
-			w.t.Errorf("%s may not be moved to %s", mv.P.Job.Spec.ID, mv.To.Name)
+		if !Movable(mv.P, c.v.Now, cfg) || !placement.Allowed(mv.P.Job, mv.To) {
+			c.t.Errorf("%s may not be moved to %s", mv.P.Job.Spec.ID, mv.To.Name)
 		}
 		free[mv.P.Host] = free[mv.P.Host].Add(mv.P.Job.Spec.Resources)
 		free[mv.To] = free[mv.To].Sub(mv.P.Job.Spec.Resources)
 	}
 	for m, f := range free {
 		if !(model.Resources{}).Fits(f) {
-			w.t.Errorf("%s is over-full after the moves: %+v", m.Name, f)
+			c.t.Errorf("%s is overcommitted after the moves: %+v", m.Name, f)
 		}
 	}
 	if !p.Job.Spec.Resources.Fits(free[p.Empty]) {
-		w.t.Errorf("%s doesn't take the job after the moves: %+v", p.Empty.Name, free[p.Empty])
+		c.t.Errorf("the job doesn't fit %s after the moves: %+v", p.Empty.Name, free[p.Empty])
 	}
 }
 
-// chain has a task of 4 GPUs waiting, machine a of 4 GPUs with a task of 3, and
-// a row of machines on which each task is smaller by what the next has free:
-// the task fits only if the row moves along, by as many moves as asked.
-func chain(t *testing.T, moves int) (*world, *ledger.Job) {
+// chain returns a cluster and a waiting job of 10 GPUs, which needs machine a. The task on a
+// can only go to the machine of the next smaller task, that task to the machine after it, and
+// so on: emptying a takes the given number of moves.
+func chain(t *testing.T, moves int) (*testCluster, *ledger.Job) {
 	sizes := []float64{8, 7, 6, 5, 4}
 	caps := []float64{10}
 	for i := 0; i < moves; i++ {
 		caps = append(caps, 0)
 	}
-	w := (*world)(nil)
-	// Machine i holds a task of sizes[i]; all but the last have 1 GPU free
-	// beside it, the last takes the task before it as it is.
+	c := (*testCluster)(nil)
+	// Machine i has a task of sizes[i] and 1 free GPU. The last machine is empty and
+	// has exactly the size of the task before it.
 	for i := 1; i <= moves; i++ {
 		caps[i] = sizes[i] + 1
 		if i == moves {
 			caps[i] = sizes[i-1]
 		}
 	}
-	w = newWorld(t, caps...)
-	w.run("a", sizes[0])
+	c = newTestCluster(t, caps...)
+	c.run("a", sizes[0])
 	for i := 1; i < moves; i++ {
-		w.run(string(rune('a'+i)), sizes[i])
+		c.run(string(rune('a'+i)), sizes[i])
 	}
-	return w, w.job(model.Gang, 10)
+	return c, c.job(model.Gang, 10)
 }
 
 func TestChainOfThree(t *testing.T) {
-	w, j := chain(t, 3)
-	// Greedily, the task of machine a fits nowhere: b has 1 free, c has 1, and
-	// d, which is empty, is too small for it.
+	c, j := chain(t, 3)
+	// A greedy search finds no machine for the task of a: b and c have 1 free GPU
+	// each, and d, which is empty, is too small.
 	for _, m := range []string{"b", "c", "d"} {
-		if (model.Resources{GPUs: 8}).Fits(w.l.Machines[m].Free()) {
-			t.Fatalf("a greedy fit solves it on %s", m)
+		if (model.Resources{GPUs: 8}).Fits(c.l.Machines[m].Free()) {
+			t.Fatalf("a greedy search finds room on %s", m)
 		}
 	}
-	p := w.plan(j, Default())
+	p := c.plan(j, Default())
 	if p == nil || p.Empty.Name != "a" || len(p.Moves) != 3 {
 		t.Fatalf("plan %+v", p)
 	}
 	cfg := Default()
-	cfg.Depth = 2
-	if p := w.plan(j, cfg); p != nil {
+	cfg.MaxDepth = 2
+	if p := c.plan(j, cfg); p != nil {
 		t.Fatalf("a chain of 3 was found at depth 2: %+v", p)
 	}
 }
 
 func TestChainOfFourIsRefused(t *testing.T) {
-	w, j := chain(t, 4)
-	if p := w.plan(j, Default()); p != nil {
+	c, j := chain(t, 4)
+	if p := c.plan(j, Default()); p != nil {
 		t.Fatalf("a chain of 4 was found at depth 3: %+v", p)
 	}
 	cfg := Default()
-	cfg.Depth = 4
-	if p := w.plan(j, cfg); p == nil || len(p.Moves) != 4 {
+	cfg.MaxDepth = 4
+	if p := c.plan(j, cfg); p == nil || len(p.Moves) != 4 {
 		t.Fatalf("depth 4 should solve it: %+v", p)
 	}
 }
 
 func TestFewestTasksFirstAndLocked(t *testing.T) {
-	w := newWorld(t, 4, 4, 4)
-	w.run("a", 1)
-	w.run("a", 1)
-	one := w.run("b", 1)
-	w.run("c", 1)
-	w.run("c", 1)
-	j := w.job(model.Gang, 4)
-	if p := w.plan(j, Default()); p == nil || p.Empty.Name != "b" || len(p.Moves) != 1 {
+	c := newTestCluster(t, 4, 4, 4)
+	c.run("a", 1)
+	c.run("a", 1)
+	one := c.run("b", 1)
+	c.run("c", 1)
+	c.run("c", 1)
+	j := c.job(model.Gang, 4)
+	if p := c.plan(j, Default()); p == nil || p.Empty.Name != "b" || len(p.Moves) != 1 {
 		t.Fatalf("plan %+v", p)
 	}
 	for name, lock := range map[string]func(){
 		"priority": func() { one.Job.Spec.Priority = model.Production },
-		"age":      func() { one.RunSince = w.v.Now - time.Hour },
+		"age":      func() { one.RunSince = c.v.Now - time.Hour },
 		"unsaved":  func() { one.Job.Spec.CheckpointS = 0 },
 		"gang":     func() { one.Job.Spec.Kind = model.Gang },
 		"stopping": func() { one.Stopping = true },
 	} {
 		spec, p := *one.Job.Spec, *one
 		lock()
-		if plan := w.plan(j, Default()); plan == nil || plan.Empty.Name == "b" {
+		if plan := c.plan(j, Default()); plan == nil || plan.Empty.Name == "b" {
 			t.Errorf("%s: plan %+v", name, plan)
 		}
 		*one.Job.Spec, *one = spec, p
 	}
 	cfg := Default()
-	cfg.Moves = 0
-	if p := w.plan(j, cfg); p != nil {
-		t.Errorf("moves beyond the cap: %+v", p)
+	cfg.MaxMoves = 0
+	if p := c.plan(j, cfg); p != nil {
+		t.Errorf("a plan exceeds the limit of moves: %+v", p)
 	}
 }
 
 func TestTrigger(t *testing.T) {
-	w := newWorld(t, 4, 4)
-	w.run("a", 1)
-	j := w.job(model.Gang, 4)
-	if p := w.plan(j, Default()); p != nil {
+	c := newTestCluster(t, 4, 4)
+	c.run("a", 1)
+	j := c.job(model.Gang, 4)
+	if p := c.plan(j, Default()); p != nil {
 		t.Fatalf("machine b has room, nothing should move: %+v", p)
 	}
-	w.run("b", 3)
-	if p := w.plan(w.job(model.Gang, 5), Default()); p != nil {
+	c.run("b", 3)
+	if p := c.plan(c.job(model.Gang, 5), Default()); p != nil {
 		t.Fatalf("no machine is that large: %+v", p)
 	}
-	if p := w.plan(j, Default()); p == nil {
-		t.Fatal("a can be emptied into b")
+	if p := c.plan(j, Default()); p == nil {
+		t.Fatal("no plan, though the task of a fits b")
 	}
 }
 
 func TestZoneRules(t *testing.T) {
-	w := newWorld(t, 4, 4, 4)
-	w.l.Machines["c"].Zone = "y"
+	c := newTestCluster(t, 4, 4, 4)
+	c.l.Machines["c"].Zone = "y"
 	s := model.Spec{ID: "j-77", Team: "t", Tasks: 2, OneZone: true, Resources: model.Resources{GPUs: 2}, CheckpointS: 5}
-	w.n = 77
-	pair := w.jobOf(s)
-	w.place(pair, 0, "a")
-	w.place(pair, 1, "b")
-	w.run("b", 1)
-	w.run("c", 1)
-	// Task 0 would fit on c at once, but that is in another zone than task 1:
-	// it can only go to b, after b's small task has gone to c.
-	p := w.plan(w.job(model.Gang, 4), Default())
+	c.n = 77
+	pair := c.jobOf(s)
+	c.place(pair, 0, "a")
+	c.place(pair, 1, "b")
+	c.run("b", 1)
+	c.run("c", 1)
+	// Task 0 would fit on c directly, but c is in another zone than task 1. It can
+	// only go to b, after b's small task has moved to c.
+	p := c.plan(c.job(model.Gang, 4), Default())
 	if p == nil || p.Empty.Name != "a" || len(p.Moves) != 2 {
 		t.Fatalf("plan %+v", p)
 	}
@@ -250,8 +250,9 @@
 	}
 }
 
-// TestRandomWorlds holds plans for random worlds to fit, rules and cap.
-func TestRandomWorlds(t *testing.T) {
+// TestRandomClusters checks that plans for random clusters keep to the machines' sizes, the
+// placement rules and the limit of moves.
+func TestRandomClusters(t *testing.T) {
 	found := 0
 	for seed := uint64(0); seed < 300; seed++ {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -259,24 +260,24 @@
 		for i := range caps {
 			caps[i] = 8
 		}
-		w := newWorld(t, caps...)
-		for _, m := range placement.Candidates(w.l, w.v) {
+		c := newTestCluster(t, caps...)
+		for _, m := range placement.Candidates(c.l, c.v) {
 			for k := r.IntN(5); k > 0; k-- {
 				if g := float64(1 + r.IntN(4)); g <= m.Free().GPUs {
-					w.run(m.Name, g)
+					c.run(m.Name, g)
 				}
 			}
 			if len(m.Placements) == 0 {
-				w.run(m.Name, 1)
+				c.run(m.Name, 1)
 			}
 		}
 		cfg := Default()
-		cfg.Group = 3 + r.IntN(10)
-		if w.plan(w.job(model.Gang, 8), cfg) != nil {
+		cfg.GroupSize = 3 + r.IntN(10)
+		if c.plan(c.job(model.Gang, 8), cfg) != nil {
 			found++
 		}
 	}
 	if found < 50 {
-		t.Errorf("only %d plans in 300 worlds", found)
+		t.Errorf("only %d plans in 300 clusters", found)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -166,7 +166,7 @@
 		switch {
 		case r == statestore.OK:
 			a.startLeading(permit, epoch, asked)
-		case r == statestore.Maybe && tries > 0:
+		case r == statestore.Unknown && tries > 0:
 			a.claim(permit, asked, value, tries-1)
 		case r == statestore.Conflict:
 			// The key is this node's after all if an earlier copy of the claim was applied.
@@ -195,7 +195,7 @@
 	a.env.Log().Info("elected", "token", token)
 	a.renewLease(token)
 	a.confirm()
-	a.store.WhenAt(token, func() {
+	a.store.WhenCaughtUp(token, func() {
 		if a.token == token {
 			a.onLead(token)
 		}
@@ -253,7 +253,7 @@
 		a.unanswered--
 		switch r {
 		case statestore.OK:
-			a.store.WhenAt(epoch, func() {
+			a.store.WhenCaughtUp(epoch, func() {
 				if a.token == token {
 					a.provenAt = max(a.provenAt, asked)
 				}
--- a/internal/ledger/write.go
+++ b/internal/ledger/write.go
@@ -392,7 +392,7 @@
 			}
 		}
 		l.reread(failed, retry)
-	case statestore.Maybe:
+	case statestore.Unknown:
 		// The transaction may have been applied, or may still be. Writing again with the
 		// same versions is safe: whichever is applied first makes the other fail.
 		retry()
--- a/internal/node/ends.go
+++ b/internal/node/ends.go
@@ -10,25 +10,25 @@
 
 // newCancellationListener returns a term's listener for cancellations, or nil if some
 // controllers are not peers of this one.
-func (n *Node) newCancellationListener(token uint64) *cancellation.Listener {
+func (n *Node) newCancellationListener(token uint64) *cancellation.Tracker {
 	if len(n.settings.Peers)+1 < n.settings.Facts.Nodes {
 		return nil
 	}
-	return cancellation.NewListener(token, n.peerLabels())
+	return cancellation.NewTracker(token, n.peerLabels())
 }
 
 // fillCancellations sets the fields about cancellations in a status.
 func (n *Node) fillCancellations(st *peer.Status) {
 	if t := n.term; t != nil && t.cancellations != nil {
-		st.Question = t.cancellations.Ask(n.env.Now(), n.store.Epoch())
+		st.Question = t.cancellations.NewQuestion(n.env.Now(), n.store.Epoch())
 	}
-	st.Answer = n.teller.Tell(n.election.Token() != 0)
+	st.Answer = n.teller.Respond(n.election.Token() != 0)
 }
 
 // onPeerCancellations processes what a peer's status says about cancellations.
 func (n *Node) onPeerCancellations(s *peer.Status) {
 	if s.Leading && s.Question != nil && s.Question.Token == s.Token {
-		n.teller.Asked(*s.Question)
+		n.teller.HandleQuestion(*s.Question)
 	}
 	if n.term == nil || n.term.cancellations == nil || s.Answer == nil || s.Answer.Token != n.term.token {
 		return
@@ -42,7 +42,7 @@
 		n.store.Learn(r.Key, r.Value, r.Stamp)
 	}
 	if t := n.term; t != nil {
-		t.cancellations.Heard(s.Label, s.Answer)
+		t.cancellations.HandleAnswer(s.Label, s.Answer)
 	}
 }
 
@@ -55,5 +55,5 @@
 	if now-t.node.election.Proven() <= t.node.hold {
 		return true
 	}
-	return t.cancellations != nil && now-t.cancellations.Clear(now) <= t.node.hold
+	return t.cancellations != nil && now-t.cancellations.CompleteUntil(now) <= t.node.hold
 }
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -49,7 +49,7 @@
 // exceeds the state service's limit, however often the leader changes: a leader uses only what
 // the other nodes certainly don't hold, and only while no other node can lead.
 func (n *Node) Share() float64 {
-	all, others := n.store.Writes(), n.store.OthersWrites()
+	all, others := n.store.TotalWriteRate(), n.store.FollowerWriteRate()
 	if others <= 0 || len(n.settings.Peers) == 0 {
 		return all
 	}
@@ -142,8 +142,8 @@
 	} else {
 		t.ease = min(1, t.ease+easeUp)
 	}
-	mine, parts, issue := t.issuer.Divide(now, t.ease*admittedFraction*t.node.store.Writes(), t.node.gate.Want(now))
-	t.node.store.SetDoor(mine)
+	mine, parts, issue := t.issuer.Divide(now, t.ease*admittedFraction*t.node.store.TotalWriteRate(), t.node.gate.Want(now))
+	t.node.store.SetSubmissionRate(mine)
 	t.issue = issue
 	t.parts = map[string]uint64{}
 	for label, p := range parts {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,7 +63,7 @@
 	// seekingLeader has, by host, when a worker last reported here while looking for the
 	// leader.
 	seekingLeader map[string]time.Duration
-	teller        *cancellation.Teller
+	teller        *cancellation.Responder
 	// forwarder forwards reports while another node leads. reporters are the workers that
 	// report to this node. spread says whether the newest known leader has all nodes take
 	// reports; spreadToken is that leader's token.
@@ -113,7 +113,7 @@
 	// admission is reduced while the leader's writes are behind. shut lists the teams and
 	// classes of which nothing is admitted.
 	issuer        *intake.Issuer
-	cancellations *cancellation.Listener
+	cancellations *cancellation.Tracker
 	issue         uint64
 	parts         map[string]uint64
 	lastDivided   time.Duration
@@ -164,9 +164,9 @@
 	n.hold = max(500*time.Millisecond, seconds(f.Workers.CancelS-f.Workers.LeaseS-4))
 	n.store = statestore.New(env, statestore.Config{Addr: set.External.State, RPS: f.State.RPS, WriteRPS: f.State.WriteRPS,
 		Nodes: f.Nodes, TxnOps: f.State.TxnOps, ValueBytes: int(f.State.ValueKB * 1024)})
-	n.store.Share = n.Share
+	n.store.WriteShare = n.Share
 	n.images = images.New(env, n.store)
-	n.teller = cancellation.NewTeller(n.store)
+	n.teller = cancellation.NewResponder(n.store)
 	n.admission = admission.New(env, n.store, f.Teams, f.Zones)
 	n.holder = intake.NewHolder(env.Rand().Uint64())
 	n.weight = opt.Sharing.Weight(f.Teams)
@@ -174,7 +174,7 @@
 		n.floors = &placement.MinShares{Sharing: opt.Sharing, Weight: n.weight}
 	}
 	n.gate = intake.NewGate(env.Rand(), n.weight)
-	n.gate.Room, n.gate.Rate = n.store.DoorOpen, n.store.DoorRate
+	n.gate.Room, n.gate.Rate = n.store.AdmitSubmission, n.store.SubmissionRate
 	n.admission.Gate = n.gate
 	n.rolloutAPI = rollout.NewDoor(env, n.store, f.Teams)
 	n.rolloutAPI.Check = n.admission.Check
@@ -256,7 +256,7 @@
 }
 
 func (n *Node) status() peer.Status {
-	st := peer.Status{Label: n.settings.Label, State: (n.env.Now() - n.store.Contact()).Milliseconds(), Leading: n.term != nil, Workers: n.workersSeekingLeader(), Reads: ledger.UnitsFormat}
+	st := peer.Status{Label: n.settings.Label, State: (n.env.Now() - n.store.LastContact()).Milliseconds(), Leading: n.term != nil, Workers: n.workersSeekingLeader(), Reads: ledger.UnitsFormat}
 	if n.term != nil {
 		st.Token = n.term.token
 	}
@@ -291,7 +291,7 @@
 	if !n.store.Synced() {
 		return false
 	}
-	silent := n.env.Now() - max(n.store.Contact(), n.resumedAt)
+	silent := n.env.Now() - max(n.store.LastContact(), n.resumedAt)
 	if silent >= stateCutAfter && n.peers.OthersReachState(stateCutAfter) {
 		return false
 	}
@@ -371,7 +371,7 @@
 	f := &n.settings.Facts
 	base, _ := leader.ReadBase(n.store) // a node that can't read it does not stand for election
 	t := &term{node: n, token: token + base.Token, base: base, lastClearSearch: map[*ledger.Job]time.Duration{}, lastPreemptSearch: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastConsolidation: -consolidateEvery, aims: placement.NewObjectives(f.Objectives)}
-	t.issuer, t.ease = intake.NewIssuer(n.env.Now(), n.peerLabels(), n.store.OthersWrites()), 1
+	t.issuer, t.ease = intake.NewIssuer(n.env.Now(), n.peerLabels(), n.store.FollowerWriteRate()), 1
 	t.cancellations = n.newCancellationListener(t.token)
 	t.ledger = ledger.New(n.env, n.store, token, f.Teams)
 	t.ledger.AttemptOffset = base.Attempts
@@ -393,16 +393,16 @@
 	t.units.OnDeposed, t.units.OnChange = t.rollouts.OnDeposed, t.schedulePass
 	t.workers = workers.New(n.env, t.ledger, t.token, workers.Config{Lease: seconds(f.Workers.LeaseS), Hold: n.hold, Report: seconds(f.Workers.ReportS)})
 	t.rollouts.Load()
-	t.workers.OnEnded = t.rollouts.Ended
+	t.workers.OnServiceExit = t.rollouts.Ended
 	// Without a fresh proof that this node leads, a job whose start is recorded may have been
 	// cancelled. Then nothing is started, not even in answers to reports.
-	t.workers.Quiet = func() bool { return !t.base.Settled || !n.election.HasProof() }
+	t.workers.StartsPaused = func() bool { return !t.base.Settled || !n.election.HasProof() }
 	t.workers.Proven = n.election.Proven
-	t.workers.OnNewer = func() { n.election.Deposed(token) }
-	t.workers.OnStuck = func() {
+	t.workers.OnHigherToken = func() { n.election.Deposed(token) }
+	t.workers.OnStuckStart = func() {
 		n.election.Resign("a revoked start may still reach its worker; only a higher token makes it void")
 	}
-	t.workers.OnTrust = func(*ledger.Machine) { t.schedulePass() }
+	t.workers.OnFirstReport = func(*ledger.Machine) { t.schedulePass() }
 	t.ledger.OnDeposed = func() { n.election.Deposed(token) }
 	t.ledger.OnChange = t.schedulePass
 	onDurable := t.ledger.OnDurable
@@ -456,7 +456,7 @@
 		return
 	}
 	t.workers.Tick()
-	t.workers.Greet()
+	t.workers.RequestStatuses()
 	if t.closed {
 		return
 	}
@@ -471,7 +471,7 @@
 		return
 	}
 	t.logProof()
-	t.node.store.Relaxed = t.ledger.WriteBacklogS(model.Low) <= 0
+	t.node.store.NoBacklog = t.ledger.WriteBacklogS(model.Low) <= 0
 	t.divide()
 	t.decideSpread()
 	t.countUnits()
--- a/internal/node/overview.go
+++ b/internal/node/overview.go
@@ -22,7 +22,7 @@
 	now := n.env.Now()
 	o := wire.Overview{Node: n.settings.Label, Leader: n.election.Leader(), Healthy: n.healthy()}
 	if n.store.Synced() {
-		o.StateSilentS = roundToTenth((now - n.store.Contact()).Seconds())
+		o.StateSilentS = roundToTenth((now - n.store.LastContact()).Seconds())
 	}
 	o.Door = &wire.DoorView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.gate.Want(now)), Admitted: roundToTenth(n.gate.Admitted(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
 	t := n.term
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -176,7 +176,7 @@
 	}
 	t.lastConsolidationCheck = v.Now
 	ms := v.Machines
-	j := consolidate.Triggered(t.ledger, v, ms, t.unplaced)
+	j := consolidate.FindBlockedJob(t.ledger, v, ms, t.unplaced)
 	if j == nil {
 		return
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -49,7 +49,7 @@
 // leaderLabel is the label of the leader, "" if it isn't known.
 func (n *Node) leaderLabel() string {
 	label := n.election.Leader()
-	if label == n.settings.Label || n.env.Now()-n.store.Contact() > 4*time.Second {
+	if label == n.settings.Label || n.env.Now()-n.store.LastContact() > 4*time.Second {
 		label = "" // this node is not ready to lead yet, or its replica may be outdated
 	}
 	if label == "" {
--- a/internal/node/units.go
+++ b/internal/node/units.go
@@ -121,10 +121,10 @@
 	case m.ReturnSent || m.Leaving:
 		return "the cloud says that its machine is gone, or its end is reported"
 	case !m.Reported:
-		return fmt.Sprintf("its machine reports, or its lease has surely run out (in %.0f s)", max(0, (t.workers.DeadAt(m)-now).Seconds()))
+		return fmt.Sprintf("its machine reports, or its lease has surely run out (in %.0f s)", max(0, (t.workers.LeaseExpiry(m)-now).Seconds()))
 	case now-m.LastReport > 3*seconds(t.node.settings.Facts.Workers.ReportS):
 		return fmt.Sprintf("its machine, silent for %.0f s, reports again, or its lease has surely run out (in %.0f s)", (now - m.LastReport).Seconds(),
-			max(0, (t.workers.DeadAt(m)-now).Seconds()))
+			max(0, (t.workers.LeaseExpiry(m)-now).Seconds()))
 	case p.Stopping:
 		return "its end is reported: it was told to stop"
 	case p.Phase == model.Fetching || !p.SeenInReport:
--- a/internal/rollout/door.go
+++ b/internal/rollout/door.go
@@ -203,7 +203,7 @@
 			done()
 		case r == statestore.Conflict:
 			conflict()
-		case r == statestore.Maybe && tries > 0:
+		case r == statestore.Unknown && tries > 0:
 			d.commit(t, tries-1, reply, done, conflict)
 		default:
 			reply(answer.Unavailable)
--- a/internal/rollout/write.go
+++ b/internal/rollout/write.go
@@ -54,7 +54,7 @@
 			return
 		}
 		switch {
-		case r == statestore.Maybe && tries > 0:
+		case r == statestore.Unknown && tries > 0:
 			// Written again with the same versions: whichever comes first makes the
 			// other fail.
 			a.commit(s, t, tries-1)
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -1,77 +1,81 @@
 package statestore
 
-// SetLeading chooses the share of the budgets: the leader writes most.
+// SetLeading sets the node's share of the budgets; the leader's is the largest.
 func (s *Store) SetLeading(on bool) {
 	s.leading = on
-	part := used
+	part := usableShare
 	switch {
 	case s.cfg.Nodes <= 1:
 	case on:
 		part = leaderShare
 	default:
-		part = min(followerShare, (used-leaderShare)/float64(s.cfg.Nodes-1))
+		part = min(followerShare, (usableShare-leaderShare)/float64(s.cfg.Nodes-1))
 	}
 	s.rps = s.cfg.RPS * part
 	s.requests.SetRate(s.rps, max(4, s.rps))
-	s.Relaxed = false
-	s.SetDoor(s.OthersWrites() / float64(max(1, s.cfg.Nodes)))
-	s.level()
+	s.NoBacklog = false
+	s.SetSubmissionRate(s.FollowerWriteRate() / float64(max(1, s.cfg.Nodes)))
+	s.refreshWrites()
 }
 
-// SetDoor says how many submissions a second a leader's door takes whatever else is
-// to be written.
-func (s *Store) SetDoor(rate float64) { s.door.SetRate(rate, max(doorBurst, rate)) }
+// SetSubmissionRate sets how many submissions a second a leader admits even if its own
+// changes need the rest of the write budget.
+func (s *Store) SetSubmissionRate(rate float64) {
+	s.submissions.SetRate(rate, max(submissionBurst, rate))
+}
 
-// Writes is how many changes a second all nodes together may make.
-func (s *Store) Writes() float64 { return used * s.cfg.WriteRPS }
+// TotalWriteRate is how many changes a second all nodes together may make.
+func (s *Store) TotalWriteRate() float64 { return usableShare * s.cfg.WriteRPS }
 
-// OthersWrites is how many of them the nodes that don't lead may make together.
-func (s *Store) OthersWrites() float64 {
+// FollowerWriteRate is how many changes a second all followers together may make.
+func (s *Store) FollowerWriteRate() float64 {
 	if s.cfg.Nodes <= 1 {
 		return 0
 	}
-	return othersWrites * s.cfg.WriteRPS
+	return followersWriteShare * s.cfg.WriteRPS
 }
 
-// level brings the bucket of changes up to now, at the lower of the rates that were
-// in force, and tells what is in it.
-func (s *Store) level() float64 {
+// refreshWrites updates the write bucket and returns its level. If the rate rises, the time
+// since the last update counts at the old rate, so that the lower rate applies.
+func (s *Store) refreshWrites() float64 {
 	now := s.env.Now()
-	w := s.Writes()
-	if s.Share != nil {
-		w = s.Share()
+	w := s.TotalWriteRate()
+	if s.WriteShare != nil {
+		w = s.WriteShare()
 	} else if s.cfg.Nodes > 1 {
-		w -= s.OthersWrites()
+		w -= s.FollowerWriteRate()
 	}
 	if w > s.writes.Rate() {
-		s.writes.Take(now, 0, 0) // what has passed counts at the old rate
+		s.writes.Take(now, 0, 0) // credits the elapsed time at the old rate
 	}
 	s.writes.SetRate(w, max(float64(s.cfg.TxnOps), w))
 	return s.writes.Level(now)
 }
 
-// DoorRate is how many submissions a second there is room for, or will be again once
-// nodes hold more than their bases after a change of leader.
-func (s *Store) DoorRate() float64 {
+// SubmissionRate is how many submissions a second the write budget allows. It is at least
+// a follower's equal part of FollowerWriteRate, because after a change of leader the nodes have
+// less only until the new leader assigns them their parts.
+func (s *Store) SubmissionRate() float64 {
 	if s.cfg.Nodes <= 1 {
 		return s.WriteRate()
 	}
-	r := s.door.Rate()
+	r := s.submissions.Rate()
 	if !s.leading {
 		r = s.WriteRate()
 	}
-	return max(r, s.OthersWrites()/float64(s.cfg.Nodes-1))
+	return max(r, s.FollowerWriteRate()/float64(s.cfg.Nodes-1))
 }
 
-// DoorOpen reports whether there is room for a submission: on a leader, of what its
-// own work leaves. One change is kept for cancellations, one for elections.
-func (s *Store) DoorOpen() bool {
-	level := s.level()
+// AdmitSubmission reports whether the budgets allow a submission. On a leader its own work
+// goes first, except before the submissions that SetSubmissionRate allows. One change is
+// kept for cancellations and one for elections.
+func (s *Store) AdmitSubmission() bool {
+	level := s.refreshWrites()
 	if s.requests.Level(s.env.Now()) < 1+s.reserve() {
 		return false
 	}
-	if !s.leading || s.Relaxed {
+	if !s.leading || s.NoBacklog {
 		return level >= 3
 	}
-	return level >= 1+ownKeep*s.writes.Burst() || level >= 1 && s.door.Take(s.env.Now(), 1, 0)
+	return level >= 1+ownWorkShare*s.writes.Burst() || level >= 1 && s.submissions.Take(s.env.Now(), 1, 0)
 }
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -9,48 +9,48 @@
 	"brooklb/internal/wire"
 )
 
-// pace learns how long to wait: twice as long after answers that did not come, and no
-// longer than needed once they do. A service whose every answer takes a second is usable; with
-// fixed times each transaction was given up and written again, and failed on its own copy.
-func (s *Store) pace(took time.Duration, none bool) {
-	if none {
-		if s.missed++; s.missed > 1 { // a single one may be lost
-			s.slow = min(mostSlow, 2*s.slow)
+// adaptTimeouts doubles the timeouts while answers are missing, and shortens them again to
+// what the answers need. A service that takes a second for each answer is usable, but with
+// fixed timeouts each transaction timed out, was sent again and failed on its own copy.
+func (s *Store) adaptTimeouts(took time.Duration, noAnswer bool) {
+	if noAnswer {
+		if s.missedAnswers++; s.missedAnswers > 1 { // a single answer may have been lost
+			s.timeoutFactor = min(maxTimeoutFactor, 2*s.timeoutFactor)
 		}
 	} else {
-		s.missed = 0
-		s.slow = min(s.slow, max(1, 2*float64(took)/float64(commitTimeout)))
+		s.missedAnswers = 0
+		s.timeoutFactor = min(s.timeoutFactor, max(1, 2*float64(took)/float64(commitTimeout)))
 	}
 }
 
-// patience is how long an answer is waited for now.
-func (s *Store) patience(usual, most time.Duration) time.Duration {
-	return min(most, time.Duration(s.slow*float64(usual)))
+// answerTimeout is the timeout for an answer at the service's present speed.
+func (s *Store) answerTimeout(usual, longest time.Duration) time.Duration {
+	return min(longest, time.Duration(s.timeoutFactor*float64(usual)))
 }
 
-// Commit sends a transaction. own says that it is the leader's work, which may
-// use the reserve. Changes that were made appear in the replica before done.
+// Commit sends a transaction. own says that it is the leader's own work, which may use
+// the reserve. Applied changes are in the replica before done is called.
 func (s *Store) Commit(t wire.Txn, own bool, done func(r Result, epoch uint64, failed []string)) {
-	keep, keepW := 0.0, 0.0
+	keepRequests, keepWrites := 0.0, 0.0
 	if !own {
-		keep = s.reserve()
+		keepRequests = s.reserve()
 		if !s.leading {
-			keepW = 1
+			keepWrites = 1
 		}
 	}
-	s.level()
+	s.refreshWrites()
 	refuse := func() { s.env.After(0, func() { done(Refused, 0, nil) }) }
-	if !s.requests.Take(s.env.Now(), 1, keep) {
+	if !s.requests.Take(s.env.Now(), 1, keepRequests) {
 		refuse()
 		return
 	}
-	if len(t.Apply) > 0 && !s.writes.Take(s.env.Now(), float64(len(t.Apply)), keepW) {
+	if len(t.Apply) > 0 && !s.writes.Take(s.env.Now(), float64(len(t.Apply)), keepWrites) {
 		refuse()
 		return
 	}
-	timeout := s.patience(commitTimeout, ownMost)
+	timeout := s.answerTimeout(commitTimeout, ownTimeoutMax)
 	if !own {
-		timeout = s.patience(userTimeout, userMost)
+		timeout = s.answerTimeout(userTimeout, userTimeoutMax)
 	}
 	s.call("POST", wire.PathCommit, wire.Encode(t), timeout, func(a actor.Answer) {
 		o, err := wire.DecodeOutcome(a.Body, a.Status == 409)
@@ -58,7 +58,7 @@
 		case a.Unsent():
 			done(Refused, 0, nil)
 		case a.Err != nil:
-			done(Maybe, 0, nil)
+			done(Unknown, 0, nil)
 		case a.Status == 503 || a.Status == 429:
 			done(Refused, 0, nil)
 		case a.Status == 200 && err == nil && o.Epoch > 0:
@@ -75,16 +75,16 @@
 		case a.Status == 400 && strings.Contains(string(a.Body), "lease"):
 			done(NoLease, 0, nil)
 		case a.Status == 400:
-			s.env.Log().Error("the state service calls a transaction malformed", "body", string(a.Body))
+			s.env.Log().Error("state service rejected a transaction as malformed", "body", string(a.Body))
 			done(Malformed, 0, nil)
 		default:
-			s.env.Log().Error("bad answer to a transaction", "status", a.Status, "err", err)
-			done(Maybe, 0, nil)
+			s.env.Log().Error("invalid response to a transaction", "status", a.Status, "err", err)
+			done(Unknown, 0, nil)
 		}
 	})
 }
 
-// Grant asks for a lease.
+// Grant requests a lease. permit is its ID.
 func (s *Store) Grant(ttl time.Duration, done func(permit uint64, ok bool)) {
 	if !s.requests.Take(s.env.Now(), 1, 0) {
 		s.env.After(0, func() { done(0, false) })
@@ -100,7 +100,7 @@
 	})
 }
 
-// Renew renews a lease; gone says that it has ended.
+// Renew renews a lease. gone says that the lease has ended.
 func (s *Store) Renew(permit uint64, done func(ok, gone bool)) {
 	if !s.requests.Take(s.env.Now(), 1, 0) {
 		s.env.After(0, func() { done(false, false) })
@@ -111,10 +111,10 @@
 	})
 }
 
-// Release ends a lease, if there is room for the request.
+// Release ends a lease if the request budget allows it.
 func (s *Store) Release(permit uint64) { s.End(permit, func(bool) {}) }
 
-// End ends a lease; ok says that it has surely ended.
+// End ends a lease. ok says that the state service confirmed its end.
 func (s *Store) End(permit uint64, done func(ok bool)) {
 	if !s.requests.Take(s.env.Now(), 1, 0) {
 		s.env.After(0, func() { done(false) })
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -5,65 +5,67 @@
 	"brooklb/internal/wire"
 )
 
-// Read brings the current value of a key: the replica's, once the state
-// service has confirmed that it is still current, or else what it answers.
-// done gets ok false when the service can't be asked. Reads that wait are
-// confirmed together in one comparing transaction.
+// Read returns the current value of a key: the replica's value if the state service
+// confirms that it is current, or else the value that the service returns. done gets
+// ok false if the value could not be read. Waiting reads are confirmed together by
+// the conditions of one transaction.
 func (s *Store) Read(key string, done func(it *Item, ok bool)) {
-	if !s.synced || len(s.queue) > 2000 {
+	if !s.synced || len(s.readQueue) > 2000 {
 		s.env.After(0, func() { done(nil, false) })
 		return
 	}
-	s.queue = append(s.queue, &read{key: key, done: done})
-	s.pump()
+	s.readQueue = append(s.readQueue, &read{key: key, done: done})
+	s.sendReads()
 }
 
-func (s *Store) pump() {
-	if len(s.queue) == 0 || s.reading >= 2 || s.readTimer != nil {
+func (s *Store) sendReads() {
+	if len(s.readQueue) == 0 || s.readsInFlight >= 2 || s.readTimer != nil {
 		return
 	}
-	// What comes within a short while is asked together.
-	if d := s.readAt + s.gap(readShare, readGap) - s.env.Now(); d > 0 && len(s.queue) < 4*s.cfg.TxnOps {
-		s.readTimer = s.env.After(d, func() { s.readTimer = nil; s.pump() })
+	// Reads that arrive within this interval share one transaction.
+	if d := s.lastReadAt + s.interval(readShare, minReadInterval) - s.env.Now(); d > 0 && len(s.readQueue) < 4*s.cfg.TxnOps {
+		s.readTimer = s.env.After(d, func() { s.readTimer = nil; s.sendReads() })
 		return
 	}
-	s.readAt = s.env.Now()
+	s.lastReadAt = s.env.Now()
 	if !s.requests.Take(s.env.Now(), 1, s.reserve()) {
-		q := s.queue
-		s.queue = nil
-		for _, r := range q {
+		waiting := s.readQueue
+		s.readQueue = nil
+		for _, r := range waiting {
 			r.done(nil, false)
 		}
 		return
 	}
-	most := 4 * s.cfg.TxnOps
-	n := min(len(s.queue), most)
-	batch := append([]*read(nil), s.queue[:n]...)
-	s.queue = append(s.queue[:0], s.queue[n:]...)
+	maxBatch := 4 * s.cfg.TxnOps
+	n := min(len(s.readQueue), maxBatch)
+	batch := append([]*read(nil), s.readQueue[:n]...)
+	s.readQueue = append(s.readQueue[:0], s.readQueue[n:]...)
 	var t wire.Txn
-	asked := map[string]bool{}
+	listed := map[string]bool{}
 	for _, r := range batch {
 		if it, ok := s.items[r.key]; ok {
 			c := it
 			r.item = &c
 		}
-		if asked[r.key] {
+		if listed[r.key] {
 			continue
 		}
-		asked[r.key] = true
+		listed[r.key] = true
 		c := wire.Cond{Path: r.key}
 		if r.item != nil {
 			c.Stamp = r.item.Stamp
 		}
 		t.When = append(t.When, c)
 	}
-	s.reading++
+	s.readsInFlight++
 	sent := s.env.Now()
-	s.call("POST", wire.PathCommit, wire.Encode(t), s.patience(readTimeout, pollMost), func(a actor.Answer) {
-		s.reading--
-		defer s.pump()
-		if sent < s.woke {
-			a.Err = actor.ErrNoAnswer // true then; others may have told users more since
+	s.call("POST", wire.PathCommit, wire.Encode(t), s.answerTimeout(readTimeout, pollTimeoutMax), func(a actor.Answer) {
+		s.readsInFlight--
+		defer s.sendReads()
+		if sent < s.resumedAt {
+			// The answer dates from before a pause. Other nodes may have reported a newer
+			// value to users since.
+			a.Err = actor.ErrNoAnswer
 		}
 		o, err := wire.DecodeOutcome(a.Body, a.Status == 409)
 		if a.Err != nil || (a.Status != 200 && a.Status != 409) || err != nil {
@@ -97,16 +99,16 @@
 		return
 	}
 	sent := s.env.Now()
-	s.call("GET", wire.PathKeys+"/"+key, nil, s.patience(readTimeout, 2*readTimeout), func(a actor.Answer) {
+	s.call("GET", wire.PathKeys+"/"+key, nil, s.answerTimeout(readTimeout, 2*readTimeout), func(a actor.Answer) {
 		switch {
-		case sent < s.woke:
+		case sent < s.resumedAt:
 			done(nil, false)
 		case a.Err == nil && a.Status == 404 && wire.IsAbsent(a.Body):
 			done(nil, true)
 		case a.Err == nil && a.Status == 200:
 			it, err := wire.DecodeItem(a.Body, key)
 			if err != nil {
-				s.env.Log().Error("bad answer of the state service", "key", key, "err", err)
+				s.env.Log().Error("invalid response from the state service", "key", key, "err", err)
 				done(nil, false)
 				return
 			}
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -1,7 +1,7 @@
-// Package statestore talks to the state service: reads, conditional
-// transactions, leases, and a replica of all our keys fed by a watch. It stays
-// inside the rates that the settings give, and it tells apart what surely
-// happened, what surely did not, and what may yet happen.
+// Package statestore is a client of the state service. It offers reads, conditional
+// transactions and leases, and it keeps a replica of all keys of this program, which a
+// watch updates. It stays within the request rates of the settings, and its results
+// distinguish requests that were executed, that were not, and whose outcome is unknown.
 package statestore
 
 import (
@@ -15,30 +15,31 @@
 	"brooklb/internal/wire"
 )
 
-// Prefix is where all our keys lie.
+// Prefix is the common prefix of all keys of this program.
 const Prefix = "b/"
 
 // Result of a transaction.
 type Result uint8
 
-// The results. After Maybe the transaction may have been applied, or may be
+// The results. After Unknown the transaction may have been applied, or may be
 // applied later as long as its conditions still hold.
 const (
 	OK Result = iota
 	Conflict
-	Refused // surely not executed
-	Maybe
+	Refused // not executed
+	Unknown
 	NoLease
-	Malformed // refused as malformed: a fault of ours
+	Malformed // rejected as malformed, which is a fault of this program
 )
 
-// Item is a key of the replica.
+// Item is the value of a key in the replica. Stamp is the revision that wrote it.
 type Item struct {
 	Value []byte
 	Stamp uint64
 }
 
-// Config of a Store.
+// Config holds the address and the limits of the state service. Nodes is the number of
+// controllers that share the limits.
 type Config struct {
 	Addr          string
 	RPS, WriteRPS float64
@@ -47,40 +48,42 @@
 	ValueBytes    int
 }
 
-// Store is the actor that owns the replica and the budgets.
+// Store is the actor that owns the replica and the request and write budgets.
 type Store struct {
-	env      actor.Env
-	cfg      Config
-	requests actor.Bucket
-	writes   actor.Bucket
-	leading  bool
-	rps      float64      // this node's share
-	door     actor.Bucket // what a leader's door takes in any case
-	// Relaxed says that nothing of the leader's own waits to be written: its door may
-	// take what is there. Its first seconds, in which users come to it alone, need that.
-	Relaxed bool
-	// Share is how many changes a second this node may make now; it is asked each time.
-	Share func() float64
-
-	items  map[string]Item
-	graves map[string]uint64 // keys known to be deleted at a revision the watch has not reached
-	epoch  uint64            // the replica is complete up to here
-	synced bool
-	gen    int
-	subs   []func(key string, it *Item)
-	resync []func()
-	waits  []wait
-
-	contact   time.Duration // last definite answer
-	woke      time.Duration // end of the last pause of ours
-	refusedAt time.Duration
-	queue     []*read
-	reading   int
-	readAt    time.Duration // of the last read
-	readTimer *actor.Timer
-	// slow is how many times as long as usual answers are waited for.
-	slow   float64
-	missed int // answers in a row that did not come
+	env         actor.Env
+	cfg         Config
+	requests    actor.Bucket
+	writes      actor.Bucket
+	leading     bool
+	rps         float64      // this node's share of Config.RPS
+	submissions actor.Bucket // submissions that a leader admits regardless of its own backlog
+	// NoBacklog says that the leader has no changes of its own waiting to be written, so
+	// that submissions may use its whole write budget. A new leader needs this in its
+	// first seconds, when all users submit to it alone.
+	NoBacklog bool
+	// WriteShare returns how many changes a second this node may make now. It is called
+	// before each use of the write budget.
+	WriteShare func() float64
+
+	items      map[string]Item
+	tombstones map[string]uint64 // revisions of deletions that the watch has not reached yet
+	epoch      uint64            // the replica is complete up to this revision
+	synced     bool
+	generation int
+	subs       []func(key string, it *Item)
+	resync     []func()
+	waits      []wait
+
+	lastContact   time.Duration // last definite answer
+	resumedAt     time.Duration // end of this process's last pause
+	refusedAt     time.Duration
+	readQueue     []*read
+	readsInFlight int
+	lastReadAt    time.Duration // of the last read
+	readTimer     *actor.Timer
+	// timeoutFactor multiplies the usual timeouts while the service answers slowly.
+	timeoutFactor float64
+	missedAnswers int // consecutive transactions without an answer
 }
 
 type wait struct {
@@ -96,93 +99,93 @@
 
 const (
 	readTimeout = 1200 * time.Millisecond
-	// A transaction without an answer is written again after this long: with
-	// the same conditions, whichever copy comes first makes the other fail.
+	// A transaction without an answer is sent again after commitTimeout. Both copies
+	// have the same conditions, so that the first one to be applied makes the other fail.
 	commitTimeout = 700 * time.Millisecond
-	userTimeout   = 350 * time.Millisecond // somebody waits for it
+	userTimeout   = 350 * time.Millisecond // for transactions that a user waits for
 	watchBlock    = 2 * time.Second
-	// A renewal that is carried out counts, however late its answer is.
+	// A renewal that was executed is valid even if its answer comes late.
 	renewTimeout = 2500 * time.Millisecond
-	// Where answers take long, they are waited for up to these times: what we do for
-	// ourselves, what a user waits for up to 5 s (and we try four times), and a poll, for
-	// which he waits 2 s.
-	ownMost, userMost, pollMost = 4 * time.Second, 1100 * time.Millisecond, 1800 * time.Millisecond
-	mostSlow                    = 6
-	watchGap                    = 150 * time.Millisecond // least time between watches of a node that doesn't lead
-	leaderGap                   = 40 * time.Millisecond
-	readGap                     = 20 * time.Millisecond // least time between reads
-	// Shares of the budgets. The leader writes most; what is left is divided
-	// among the others, however many they are.
+	// While the service answers slowly, timeouts grow up to these limits: of the leader's
+	// own transactions, of transactions that a user waits for (up to 5 s, with four
+	// attempts), and of polls, for which a user waits 2 s.
+	ownTimeoutMax, userTimeoutMax, pollTimeoutMax = 4 * time.Second, 1100 * time.Millisecond, 1800 * time.Millisecond
+	maxTimeoutFactor                              = 6
+	minWatchInterval                              = 150 * time.Millisecond // between two watches of a follower
+	minLeaderWatchInterval                        = 40 * time.Millisecond
+	minReadInterval                               = 20 * time.Millisecond // between two batches of reads
+	// Shares of the request budget. The leader writes most; the followers divide the
+	// rest, whatever their number.
 	leaderShare   = 0.46
 	followerShare = 0.25 // at most
-	used          = 0.95 // of the budgets, by all together
-	// Of the changes the nodes that don't lead may have so much together.
-	othersWrites = 0.35
-	// A leader's door leaves so much of its bucket to the leader's own work. In any
-	// case it takes what SetDoor says.
-	ownKeep   = 0.75
-	doorBurst = 4
-	// Of a node's own share, what it does for users leaves a reserve for its
-	// lease and its watch, and watches and reads take no more than these.
+	usableShare   = 0.95 // of each budget, by all nodes together
+	// followersWriteShare is the part of the write budget that all followers have together.
+	followersWriteShare = 0.35
+	// A leader's submissions leave this part of its write budget to its own work, apart
+	// from those that SetSubmissionRate allows.
+	ownWorkShare    = 0.75
+	submissionBurst = 4
+	// Requests for users leave this part of the node's request budget to its lease and
+	// its watch. Watches and reads use no more than their parts.
 	userReserve = 0.15
 	watchShare  = 0.35
 	readShare   = 0.4
-	// A process begins with this part of a second's requests. One that ends again and
-	// again after some tenths of a second would else take a full burst each time, and
-	// reads of all keys by seven such nodes all that there is.
-	// At least it needs the keys, a watch, and an election.
-	freshPart, freshLeast = 0.25, 8
+	// A process starts with this part of a second's requests, because a process that
+	// crashes repeatedly within tenths of a second would otherwise use a full burst each
+	// time: seven such nodes, each reading all keys, used up the whole budget.
+	// startMinimum covers reading the keys, a watch and an election.
+	startShare, startMinimum = 0.25, 8
 )
 
-// New makes a Store; Start begins to fill its replica.
+// New returns a Store with an empty replica, which Start fills.
 func New(env actor.Env, cfg Config) *Store {
-	s := &Store{env: env, cfg: cfg, items: map[string]Item{}, graves: map[string]uint64{}, contact: -time.Hour, readAt: -time.Hour, slow: 1}
+	s := &Store{env: env, cfg: cfg, items: map[string]Item{}, tombstones: map[string]uint64{}, lastContact: -time.Hour, lastReadAt: -time.Hour, timeoutFactor: 1}
 	s.SetLeading(false)
-	s.requests.Drain(max(freshLeast, s.rps*freshPart))
+	s.requests.Drain(max(startMinimum, s.rps*startShare))
 	return s
 }
 
-// Config returns the limits in force.
+// Config returns the store's configuration.
 func (s *Store) Config() Config { return s.cfg }
 
-// gap is the time between requests of one kind that may take a part of the
-// node's share.
-func (s *Store) gap(part float64, least time.Duration) time.Duration {
+// interval is the time between requests of one kind that may use the given part of the
+// node's request rate.
+func (s *Store) interval(part float64, least time.Duration) time.Duration {
 	return max(least, time.Duration(float64(time.Second)/(s.rps*part)))
 }
 
-// reserve is what requests for users leave in the bucket.
+// reserve is how many requests must stay in the bucket after a request for a user.
 func (s *Store) reserve() float64 { return min(3, s.rps*userReserve) }
 
-// Subscribe registers a function that hears of every change of the replica;
-// it is nil when the key is gone.
+// Subscribe registers a function that is called for every change of the replica. The item
+// is nil when the key was deleted.
 func (s *Store) Subscribe(f func(key string, it *Item)) { s.subs = append(s.subs, f) }
 
-// OnResync registers a function that is called when the replica was read anew
-// and single changes were missed.
+// OnResync registers a function that is called after the whole replica was read again,
+// since individual changes were missed.
 func (s *Store) OnResync(f func()) { s.resync = append(s.resync, f) }
 
-// Synced reports whether the replica has been read.
+// Synced reports whether the replica has been read completely once.
 func (s *Store) Synced() bool { return s.synced }
 
 // Epoch is the revision up to which the replica is complete.
 func (s *Store) Epoch() uint64 { return s.epoch }
 
-// Contact is the time of the last definite answer of the state service.
-func (s *Store) Contact() time.Duration { return s.contact }
+// LastContact is the time of the last definite answer of the state service.
+func (s *Store) LastContact() time.Duration { return s.lastContact }
 
-// Paused hears that the process was paused. Reads that wait are answered at
-// once that they can't be had: what they would tell may be old by now.
+// Paused is called after the process was paused. It fails all waiting reads at once,
+// since the values they would return may be stale.
 func (s *Store) Paused() {
-	s.woke = s.env.Now()
-	q := s.queue
-	s.queue = nil
-	for _, r := range q {
+	s.resumedAt = s.env.Now()
+	waiting := s.readQueue
+	s.readQueue = nil
+	for _, r := range waiting {
 		r.done(nil, false)
 	}
 }
 
-// Peek returns what the replica holds, which may lag.
+// Peek returns a key's value in the replica, which may lag behind the state service.
 func (s *Store) Peek(key string) (Item, bool) {
 	it, ok := s.items[key]
 	return it, ok
@@ -202,8 +205,8 @@
 	}
 }
 
-// WhenAt calls f once the replica is complete up to the revision.
-func (s *Store) WhenAt(epoch uint64, f func()) {
+// WhenCaughtUp calls f once the replica is complete up to the revision.
+func (s *Store) WhenCaughtUp(epoch uint64, f func()) {
 	if s.synced && s.epoch >= epoch {
 		f()
 		return
@@ -211,52 +214,52 @@
 	s.waits = append(s.waits, wait{epoch, f})
 }
 
-// WriteRoom is how many changes the budget holds now, WriteBurst at most.
-func (s *Store) WriteRoom() float64 { return s.level() }
+// WriteRoom is how many changes the write budget allows now, at most WriteBurst.
+func (s *Store) WriteRoom() float64 { return s.refreshWrites() }
 
-// WriteRate is how many changes a second this node may make now.
+// WriteRate is how many changes a second this node may make at present.
 func (s *Store) WriteRate() float64 {
-	s.level()
+	s.refreshWrites()
 	return s.writes.Rate()
 }
 
-// WriteBurst is the most that WriteRoom can be.
+// WriteBurst is the maximum of WriteRoom.
 func (s *Store) WriteBurst() float64 { return s.writes.Burst() }
 
 func (s *Store) call(method, path string, body []byte, timeout time.Duration, done func(actor.Answer)) {
-	asked := s.env.Now()
+	sent := s.env.Now()
 	s.env.Call(actor.Call{Addr: s.cfg.Addr, Method: method, Path: path, Body: body, Timeout: timeout, Done: func(a actor.Answer) {
 		if path == wire.PathCommit {
-			s.pace(s.env.Now()-asked, a.Err != nil && !a.Unsent())
+			s.adaptTimeouts(s.env.Now()-sent, a.Err != nil && !a.Unsent())
 		}
 		switch {
 		case a.Err != nil:
 		case a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests:
 			s.refusedAt = s.env.Now()
 		default:
-			s.contact = s.env.Now()
+			s.lastContact = s.env.Now()
 		}
 		done(a)
 	}})
 }
 
-// Start reads all keys and keeps watching them.
+// Start reads all keys into the replica and then watches them for changes.
 func (s *Store) Start() {
-	s.gen++
-	gen := s.gen
-	fresh := map[string]Item{}
-	var first uint64
+	s.generation++
+	generation := s.generation
+	fetched := map[string]Item{}
+	var firstEpoch uint64
 	var page func(after string)
-	again := func(after string) {
+	retry := func(after string) {
 		s.env.After(300*time.Millisecond, func() {
-			if s.gen == gen {
+			if s.generation == generation {
 				page(after)
 			}
 		})
 	}
 	page = func(after string) {
 		if !s.requests.Take(s.env.Now(), 1, 0) {
-			again(after)
+			retry(after)
 			return
 		}
 		path := wire.PathKeys + "?under=" + Prefix + "&most=1000"
@@ -264,28 +267,28 @@
 			path += "&from=" + after
 		}
 		s.call("GET", path, nil, 3*time.Second, func(a actor.Answer) {
-			if s.gen != gen {
+			if s.generation != generation {
 				return
 			}
 			p, err := wire.DecodePage(a.Body)
 			if a.Err != nil || a.Status != 200 || err != nil || (p.HasNext && len(p.Items) == 0) {
-				again(after)
+				retry(after)
 				return
 			}
 			if after == "" {
-				first = p.Epoch
+				firstEpoch = p.Epoch
 			}
 			for _, it := range p.Items {
-				fresh[it.Path] = Item{append([]byte(nil), it.Value...), it.Stamp}
+				fetched[it.Path] = Item{append([]byte(nil), it.Value...), it.Stamp}
 			}
 			if p.HasNext {
 				page(p.Items[len(p.Items)-1].Path)
 				return
 			}
-			again := s.synced
-			s.items, s.epoch, s.synced = fresh, first, true
-			s.graves = map[string]uint64{}
-			if again {
+			resynced := s.synced
+			s.items, s.epoch, s.synced = fetched, firstEpoch, true
+			s.tombstones = map[string]uint64{}
+			if resynced {
 				for _, f := range s.resync {
 					f()
 				}
@@ -294,43 +297,43 @@
 					s.Each("", func(k string, it Item) { f(k, &it) })
 				}
 			}
-			s.wake()
-			s.watch(gen)
+			s.runWaits()
+			s.watch(generation)
 		})
 	}
 	page("")
 }
 
-func (s *Store) wake() {
-	var keep []wait
-	ws := s.waits
+func (s *Store) runWaits() {
+	var pending []wait
+	waiting := s.waits
 	s.waits = nil
-	for _, w := range ws {
+	for _, w := range waiting {
 		if s.epoch >= w.epoch {
 			w.f()
 		} else {
-			keep = append(keep, w)
+			pending = append(pending, w)
 		}
 	}
-	s.waits = append(s.waits, keep...)
+	s.waits = append(s.waits, pending...)
 }
 
-func (s *Store) watch(gen int) {
-	if s.gen != gen {
+func (s *Store) watch(generation int) {
+	if s.generation != generation {
 		return
 	}
-	retry := func(d time.Duration) { s.env.After(d, func() { s.watch(gen) }) }
+	retry := func(d time.Duration) { s.env.After(d, func() { s.watch(generation) }) }
 	if !s.requests.Take(s.env.Now(), 1, 0) {
 		retry(50 * time.Millisecond)
 		return
 	}
 	path := wire.PathChanges + "?under=" + Prefix + "&from=" + strconv.FormatUint(s.epoch, 10) +
 		"&block_ms=" + strconv.Itoa(int(watchBlock.Milliseconds()))
-	opened := s.env.Now()
-	// A watch that stays open past its time hangs in a cut or an outage: a new
-	// one is opened, since only an answer proves that nothing was missed.
-	s.call("GET", path, nil, watchBlock+s.patience(1500*time.Millisecond, ownMost), func(a actor.Answer) {
-		if s.gen != gen {
+	sent := s.env.Now()
+	// A watch that stays open past its time hangs because of a partition or an outage. A
+	// new one is opened, since only an answer proves that no change was missed.
+	s.call("GET", path, nil, watchBlock+s.answerTimeout(1500*time.Millisecond, ownTimeoutMax), func(a actor.Answer) {
+		if s.generation != generation {
 			return
 		}
 		if a.Err != nil || a.Status == 503 || a.Status == 429 {
@@ -338,13 +341,13 @@
 			return
 		}
 		if a.Status == http.StatusGone {
-			s.env.Log().Info("watch too old, reading all keys again", "epoch", s.epoch)
+			s.env.Log().Info("watch revision too old, reading all keys again", "epoch", s.epoch)
 			s.Start()
 			return
 		}
 		n, err := wire.DecodeNews(a.Body)
 		if a.Status != 200 || err != nil {
-			s.env.Log().Error("bad answer to a watch", "status", a.Status, "err", err)
+			s.env.Log().Error("invalid response to a watch", "status", a.Status, "err", err)
 			retry(time.Second)
 			return
 		}
@@ -359,21 +362,21 @@
 		}
 		if n.Epoch > s.epoch {
 			s.epoch = n.Epoch
-			for k, e := range s.graves {
+			for k, e := range s.tombstones {
 				if e <= s.epoch {
-					delete(s.graves, k)
+					delete(s.tombstones, k)
 				}
 			}
-			s.wake()
+			s.runWaits()
 		}
-		gap := s.gap(watchShare, watchGap)
+		interval := s.interval(watchShare, minWatchInterval)
 		if s.leading {
-			gap = s.gap(watchShare, leaderGap)
+			interval = s.interval(watchShare, minLeaderWatchInterval)
 		}
-		if s.env.Now()-opened >= gap {
-			s.watch(gen)
+		if s.env.Now()-sent >= interval {
+			s.watch(generation)
 		} else {
-			retry(gap - (s.env.Now() - opened))
+			retry(interval - (s.env.Now() - sent))
 		}
 	})
 }
@@ -382,7 +385,7 @@
 	if old, ok := s.items[key]; ok && old.Stamp >= stamp {
 		return
 	}
-	if s.graves[key] >= stamp && stamp > 0 {
+	if s.tombstones[key] >= stamp && stamp > 0 {
 		return
 	}
 	it := Item{append([]byte(nil), value...), stamp}
@@ -392,7 +395,7 @@
 	}
 }
 
-// Learn takes in a record that another node had of the state service.
+// Learn adds a record to the replica that another node has read from the state service.
 func (s *Store) Learn(key string, value []byte, stamp uint64) {
 	if s.synced {
 		s.put(key, value, stamp)
@@ -401,7 +404,7 @@
 
 func (s *Store) drop(key string, stamp uint64) {
 	if stamp > s.epoch {
-		s.graves[key] = max(s.graves[key], stamp)
+		s.tombstones[key] = max(s.tombstones[key], stamp)
 	}
 	old, ok := s.items[key]
 	if !ok || old.Stamp > stamp {
--- a/internal/units/door.go
+++ b/internal/units/door.go
@@ -185,7 +185,7 @@
 			case r == statestore.OK:
 				d.env.Log().Info("resource set", "name", name, "count", c.Count, "removed", c.Gone, "by", c.By)
 				reply(httpx.Response{Status: 200, Body: wire.Encode(d.view(name, &c, false))})
-			case (r == statestore.Conflict || r == statestore.Maybe) && tries > 0:
+			case (r == statestore.Conflict || r == statestore.Unknown) && tries > 0:
 				// Look again: an earlier copy may be there, or the leader's number.
 				d.change(name, f, tries-1, reply)
 			default:
--- a/internal/workers/ends.go
+++ b/internal/workers/ends.go
@@ -8,23 +8,24 @@
 	"brooklb/internal/model"
 )
 
-func (a *Actor) exited(p *ledger.Placement, t model.TaskReport) {
+// handleExit updates the ledger after a task has exited.
+func (a *Actor) handleExit(p *ledger.Placement, t model.TaskReport) {
 	now := a.env.Now()
 	j, m := p.Job, p.Host
 	task := &j.Tasks[p.Task]
-	if j.Spec.Kind == model.Service && a.OnEnded != nil && ownEnd(t.Cause) {
-		a.OnEnded(p, t.Cause)
+	if j.Spec.Kind == model.Service && a.OnServiceExit != nil && endedByItself(t.Cause) {
+		a.OnServiceExit(p, t.Cause)
 	}
 	switch t.Cause {
 	case model.CauseDone:
 		task.Errors = 0
 		m.ClearFailedJobs()
-		if m.ReportGap <= a.vague() {
+		if m.ReportGap <= a.maxReportGap() {
 			a.led.LearnRunTime(p)
 		}
 		a.led.MarkFinished(j, p.Task)
 		if m.Pace.TooSlow() && !m.Leaving {
-			a.setAside(m)
+			a.retireSlowMachine(m)
 		}
 		return
 	case model.CauseError:
@@ -34,9 +35,9 @@
 		if j.Spec.Kind == model.Service && p.RunSince > 0 && now-p.RunSince > time.Minute {
 			a.led.MarkHealthy(j)
 		}
-		a.blame(p)
+		a.assignFault(p)
 	case model.CauseGangIncomplete:
-		if a.again(p) {
+		if a.retryGangWait(p) {
 			return
 		}
 	case model.CauseNoRoom:
@@ -55,9 +56,9 @@
 	a.led.MarkLost(p, cause)
 }
 
-// ownEnd reports whether a task ended by itself, and was not stopped, refused or
-// left alone.
-func ownEnd(cause string) bool {
+// endedByItself reports whether a task ended by itself: it was not stopped or refused, and
+// did not give up waiting for the other tasks of its gang.
+func endedByItself(cause string) bool {
 	switch cause {
 	case model.CauseStopped, model.CausePeerLost, model.CauseGangIncomplete, model.CauseNoRoom, model.CauseBusy, model.CauseUnknown:
 		return false
@@ -65,20 +66,19 @@
 	return true
 }
 
-// avoidFor is how long a task keeps off the machine it failed on.
+// avoidFor is how long a task is not placed on the machine it failed on.
 const avoidFor = time.Minute
 
-// mostAgain bounds how often a task of a gang is started again in one attempt.
-const mostAgain = 12
+// maxGangWaitRetries bounds how often a task of a gang is started again in one attempt.
+const maxGangWaitRetries = 12
 
-// again reports whether a task that has waited in vain for the others of its
-// gang is to wait once more. Fetches of one image differ by more than the
-// longest wait: if the gang were started anew each time, the slowest fetch
-// would be given up each time, and the gang would never come together. The task
-// keeps its attempt and its place; its image is there.
-func (a *Actor) again(p *ledger.Placement) bool {
+// retryGangWait reports whether a task whose wait for the rest of its gang timed out is
+// to be started again. The times to fetch an image differ by more than the longest wait: a
+// gang that is restarted as a whole abandons its slowest fetch each time and never starts.
+// The task keeps its attempt and its machine, which has the image.
+func (a *Actor) retryGangWait(p *ledger.Placement) bool {
 	j := p.Job
-	if (!p.RestartPending && p.Retries >= mostAgain) || a.mayArrive(p.Host, p) {
+	if (!p.RestartPending && p.Retries >= maxGangWaitRetries) || a.startMayArrive(p.Host, p) {
 		return false
 	}
 	if !ledger.Forming(j) {
@@ -95,16 +95,16 @@
 	return min(time.Minute, time.Second<<min(n, 6))
 }
 
-// blame finds out who is at fault for an error: a machine on which tasks of
-// several jobs fail, or a job that fails on several machines.
-func (a *Actor) blame(p *ledger.Placement) {
+// assignFault decides whether the machine or the job is at fault for a task's error: a
+// machine on which tasks of several jobs fail, or a job that fails on several machines.
+func (a *Actor) assignFault(p *ledger.Placement) {
 	m := p.Host
 	a.led.MarkFailed(p)
 	if p.Job.Faulty() {
 		return
 	}
 	if m.FailedJobs() >= 2 {
-		a.env.Log().Info("machine set aside, tasks of several jobs failed on it", "machine", m.Name, "jobs", m.FailedJobs())
+		a.env.Log().Info("returning machine, tasks of several jobs failed on it", "machine", m.Name, "jobs", m.FailedJobs())
 		m.NoPlacementBefore = a.env.Now() + time.Hour
 		m.Leaving = true
 	} else {
@@ -112,14 +112,15 @@
 	}
 }
 
-// vague is the gap between reports beyond which it isn't known closely when a
-// task began or ended: a cut makes tasks look slow that are not.
-func (a *Actor) vague() time.Duration { return 2 * a.cfg.Report }
+// maxReportGap is the longest gap between two reports after which the start or end time
+// of a task is precise enough to measure its run time. After a network partition tasks
+// would look slower than they are.
+func (a *Actor) maxReportGap() time.Duration { return 2 * a.cfg.Report }
 
-// setAside has a machine returned on which tasks take much longer than the same
-// jobs' tasks elsewhere. What can save goes on elsewhere at once.
-func (a *Actor) setAside(m *ledger.Machine) {
-	a.env.Log().Info("machine set aside, its tasks take much longer than elsewhere", "machine", m.Name, "factor", math.Round(100*m.Pace.Factor())/100)
+// retireSlowMachine has a machine returned on which tasks take much longer than tasks of
+// the same jobs on other machines. Tasks that can save their progress move at once.
+func (a *Actor) retireSlowMachine(m *ledger.Machine) {
+	a.env.Log().Info("returning machine, its tasks take much longer than on other machines", "machine", m.Name, "factor", math.Round(100*m.Pace.Factor())/100)
 	m.Leaving = true
 	a.drain(m, "machine is too slow")
 }
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -10,8 +10,8 @@
 	"brooklb/internal/wire"
 )
 
-// orders lists what the worker has to be told. In the answer to a report (all
-// true) everything unfinished is repeated; a direct command has what is new.
+// orders lists the orders for a worker. The answer to a report (all is true) repeats all
+// unfinished ones; a direct command has only new ones.
 func (a *Actor) orders(m *ledger.Machine, all bool) []model.Order {
 	var out []model.Order
 	now := a.env.Now()
@@ -39,10 +39,11 @@
 				p.StopSent = now
 				out = append(out, model.Order{Op: model.Stop, Job: id, Task: p.Task, Attempt: p.Attempt, GraceS: p.GraceS})
 			}
-		case a.Quiet != nil && a.Quiet():
+		case a.StartsPaused != nil && a.StartsPaused():
 		case p.RestartPending:
-			// Only in an answer, which is executed at once or never: a copy that
-			// came late would make the worker forget what it has done since.
+			// These orders go only in the answer to a report, which is executed at once
+			// or never: a late copy of a command would make the worker forget the
+			// attempt after it had started it again.
 			if all && m.Token >= a.token {
 				out = append(out, model.Order{Op: model.Forget, Job: id, Task: p.Task, Attempt: p.Attempt},
 					model.Order{Op: model.Start, Job: id, Task: p.Task, Attempt: p.Attempt})
@@ -52,42 +53,43 @@
 				continue
 			}
 			if p.Inherited && p.Session == 0 && (p.Job.Spec.Kind == model.Gang || m.Token < a.token) {
-				continue // decided when the worker has seen our token
+				continue // decided when the worker has seen the current token
 			}
 			if p.Inherited && p.Session == 0 && a.led.OverLimit(p) {
-				// Its end may have been known to the last leader, which gave what it held
-				// to others, but was not written yet: both are in the record, and with both
-				// started more would be in use than there is (TestLicences).
+				// The last leader may have known that the task had ended, and have given what
+				// it held to another task, before the end was written. Both are recorded as
+				// placed, and starting both would exceed the limit.
 				a.led.MarkLost(p, model.CauseMachineLost)
 				continue
 			}
 			if all {
 				p.StartInAnswerAt = now
 			} else if direct++; direct > ledger.MaxDirectStarts(p.Job.Spec.Priority) {
-				continue // the answer to the next report tells it
+				continue // the answer to the next report has this start
 			}
 			p.Session, p.StartSentAt = m.Session, now
 			out = append(out, model.Order{Op: model.Start, Job: id, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
-	sort.SliceStable(out, func(i, j int) bool { return rank(out[i].Op) < rank(out[j].Op) })
+	sort.SliceStable(out, func(i, j int) bool { return orderRank(out[i].Op) < orderRank(out[j].Op) })
 	return out
 }
 
-func rank(o model.Op) int { return [...]int{2, 1, 0}[o] }
+// orderRank puts forgets before stops and stops before starts, so that a worker forgets an
+// attempt before it starts it again.
+func orderRank(o model.Op) int { return [...]int{2, 1, 0}[o] }
 
 const (
-	// A copy of a start that was carried out and answered may come so late. Until then the
-	// worker keeps what it knows of the attempt, also of one that was done: a worker that had
-	// forgotten it started it again, beside the next attempt elsewhere (sim.TestTroubledDays/11
-	// with copies), or, though it was done, beside a team's work at its limit, or long after
-	// its job was cancelled (sim.TestCopiesOfStarts).
-	copiesFor = 5 * time.Minute
+	// A duplicate of a start that was executed and answered may arrive within this time.
+	// Until then the worker remembers the attempt even if the task is done. A worker that
+	// had forgotten it executed the duplicate: while the next attempt ran on another
+	// machine, while the team was at its limit, or long after the job was cancelled.
+	duplicateWindow = 5 * time.Minute
 )
 
-// mayForget says whether the worker may forget an exited attempt. Its end must
-// be durable, and no copy of its start may be under way: after forgetting it,
-// the worker would execute the copy.
+// mayForget reports whether the worker may forget an exited attempt. Its end must be
+// durable, and no duplicate of its start may be in flight, since a worker that has
+// forgotten the attempt would execute the duplicate.
 func (a *Actor) mayForget(m *ledger.Machine, t model.TaskReport) bool {
 	if m.Token < a.token {
 		return false
@@ -95,7 +97,7 @@
 	if _, ok := m.UnconfirmedStarts[t.Key()]; ok {
 		return false
 	}
-	if at, ok := m.ConfirmedStarts[t.Key()]; ok && a.env.Now()-at < copiesFor {
+	if at, ok := m.ConfirmedStarts[t.Key()]; ok && a.env.Now()-at < duplicateWindow {
 		return false
 	}
 	j := a.led.Jobs[t.Job]
@@ -108,7 +110,7 @@
 	return j.TaskDurable(t.Task)
 }
 
-// Push sends what is new straight to the worker.
+// Push sends new orders directly to the worker, without waiting for its next report.
 func (a *Actor) Push(m *ledger.Machine) {
 	if a.pushing[m] || a.stopped {
 		return
@@ -122,7 +124,7 @@
 	})
 }
 
-// call sends a request to the worker, the way its reports come.
+// call sends a request to the worker by the path on which its reports arrive.
 func (a *Actor) call(m *ledger.Machine, c actor.Call) {
 	if a.Send != nil {
 		a.Send(m.RelayedBy, c)
@@ -134,10 +136,10 @@
 func (a *Actor) push(m *ledger.Machine) {
 	now := a.env.Now()
 	if m.Addr == "" || !m.Reported || now-m.LastReport > 3*a.cfg.Report {
-		return // the answer to its next report will tell it
+		return // the answer to its next report has the orders
 	}
 	for k, at := range m.ConfirmedStarts {
-		if now-at >= copiesFor {
+		if now-at >= duplicateWindow {
 			delete(m.ConfirmedStarts, k)
 		}
 	}
@@ -159,9 +161,9 @@
 				return
 			}
 			if ans.Err != nil && !ans.Unsent() {
-				// It may be executed minutes later. The repeated start in the
-				// answer to a report makes the copy harmless, as long as the
-				// worker isn't told to forget the attempt.
+				// The command may be executed minutes later. The answer to a report
+				// repeats the start, which makes the late copy harmless as long as
+				// the worker doesn't forget the attempt.
 				a.env.Log().Debug("no answer to a direct command", "machine", m.Name, "err", ans.Err)
 				return
 			}
@@ -180,9 +182,9 @@
 			}
 			r, err := wire.DecodeReport(ans.Body)
 			if err != nil || r.Machine != m.Name {
-				a.env.Log().Error("bad answer of a worker", "machine", m.Name, "err", err)
+				a.env.Log().Error("invalid response from a worker", "machine", m.Name, "err", err)
 				return
 			}
-			a.absorb(r, asked)
+			a.applyReport(r, solicited)
 		}})
 }
--- a/internal/workers/proof.go
+++ b/internal/workers/proof.go
@@ -7,62 +7,63 @@
 	"brooklb/internal/model"
 )
 
-// unlisted is a placement that the newest report doesn't list.
+// handleUnlisted decides whether a placement that the newest report doesn't list is lost.
 //
-// The worker waits for the answer to a report for at most 4 s, and reports again only when
-// it has it or has given it up: a start in our last answer was executed before the next
-// report, or never will be. The answer to a command comes beside that, and proves nothing
-// about a start in an answer that may still be on its way.
-func (a *Actor) unlisted(m *ledger.Machine, p *ledger.Placement, came way) {
+// The worker waits at most 4 s for the answer to a report, and reports again only after it
+// has received the answer or timed out. A start in the last answer was therefore executed
+// before the next report, or never will be. The answer to a command is independent of
+// that: it proves nothing about a start in an answer that may still be in flight.
+func (a *Actor) handleUnlisted(m *ledger.Machine, p *ledger.Placement, came reportOrigin) {
 	switch {
 	case p.Session != 0 && p.Session < m.Session:
-		// A later session has none of the earlier one's tasks.
+		// A later session of the worker has none of the earlier session's tasks.
 		a.led.MarkLost(p, model.CauseWorkerRestarted)
 	case p.Session != 0 && p.SeenInReport:
 		a.led.MarkLost(p, "vanished from the worker's report")
 	case p.Session != 0:
-		// We sent a start that the worker hasn't executed yet.
-		if p.Stopping && !a.mayArrive(m, p) && (came == unasked || p.StartInAnswerAt == 0 || a.env.Now()-p.StartInAnswerAt > answerFor) {
+		// A start was sent that the worker hasn't executed yet.
+		if p.Stopping && !a.startMayArrive(m, p) && (came == unsolicited || p.StartInAnswerAt == 0 || a.env.Now()-p.StartInAnswerAt > answerWindow) {
 			a.led.MarkLost(p, model.CauseStopped)
 		}
 	case m.Token >= a.token && (p.Stopping || p.Inherited && p.Job.Spec.Kind == model.Gang):
-		// We have sent no start. If an earlier leader placed it, its starts carry a lower
-		// token than the worker has seen, so none can be executed any more. What we have
-		// placed ourselves waits for the next answer: a gang's task that was not told at
-		// once, since a report came in just before, was called lost, and the gang broken.
+		// No start was sent in this term. If an earlier leader placed the task, its starts
+		// have a lower token than the worker has seen, and none can be executed any more.
+		// A task placed in this term waits for the next answer. Counting it as lost broke a
+		// gang when a report arrived between the placement and the start.
 		a.led.MarkLost(p, model.CauseMachineLost)
 	}
 }
 
-// answerFor is longer than a worker waits for the answer to a report.
-const answerFor = 4500 * time.Millisecond
+// answerWindow is longer than a worker waits for the answer to a report.
+const answerWindow = 4500 * time.Millisecond
 
-// mayArrive reports whether a start sent directly may still be executed.
-func (a *Actor) mayArrive(m *ledger.Machine, p *ledger.Placement) bool {
+// startMayArrive reports whether a start that was sent directly may still be executed.
+func (a *Actor) startMayArrive(m *ledger.Machine, p *ledger.Placement) bool {
 	_, ok := m.UnconfirmedStarts[model.TaskAttempt{Job: p.Job.Spec.ID, Task: p.Task, Attempt: p.Attempt}]
 	return ok
 }
 
-// DeadAt is when everything on a machine is surely gone if it stays silent.
-func (a *Actor) DeadAt(m *ledger.Machine) time.Duration {
-	last := a.began + a.cfg.Hold
+// LeaseExpiry is the time from which no task on the machine can be running any more if
+// the machine stays silent.
+func (a *Actor) LeaseExpiry(m *ledger.Machine) time.Duration {
+	last := a.began + a.cfg.Hold // the last time at which an earlier leader answered
 	if m.TokenSeen {
-		// Until it had seen our token an earlier leader may have answered it. It
-		// may have learned the token by an order, before any report of its came
-		// here: all its tasks were once taken for dead at once.
+		// An earlier leader may have answered the worker until it saw the current token.
+		// The worker may have seen the token in a command, before its first report in this
+		// term: without TokenAt all its tasks counted as lost at once.
 		last = max(m.LastAnswered, m.TokenSeenAt)
 	} else {
 		last = max(last, m.LastAnswered)
 	}
-	// A session that we have heard of, perhaps by the answer to a command alone, has a lease
-	// of its own from its beginning: what was started in it at once was taken for dead by
-	// the silence of the session before (sim.TestMeetings/1645, after a long outage).
+	// A new session, which may be known only from the answer to a command, has a lease of its
+	// own from its beginning. Without SessionAt, tasks that were started in it after a long
+	// outage counted as lost because of the previous session's silence.
 	last = max(last, m.SessionSeenAt)
-	return last + time.Duration(float64(a.cfg.Lease)*drift) + 1500*time.Millisecond
+	return last + time.Duration(float64(a.cfg.Lease)*clockDrift) + 1500*time.Millisecond
 }
 
-// Paused hears that we were paused, or had to refuse reports, for a while, yet lead still:
-// nobody's silence in that time is his own.
+// Paused is called after this controller was paused, or had to refuse reports, for the
+// given time and still leads. Machines don't count as silent for that time.
 func (a *Actor) Paused(gap time.Duration) {
 	for _, m := range a.led.MachinesByName() {
 		if m.Reported {
@@ -71,19 +72,19 @@
 	}
 }
 
-// Tick looks for machines that have been silent for so long that their
-// workers' leases have surely run out.
+// Tick calls OnStuckStart if a start is stuck, and marks the tasks of machines as lost
+// whose workers' leases have expired.
 func (a *Actor) Tick() {
 	now := a.env.Now()
 	for _, m := range a.led.MachinesByName() {
-		if a.stuck(m) && a.OnStuck != nil {
-			a.OnStuck()
+		if a.hasStuckStart(m) && a.OnStuckStart != nil {
+			a.OnStuckStart()
 			return
 		}
-		if len(m.Placements) == 0 || now < a.DeadAt(m) {
+		if len(m.Placements) == 0 || now < a.LeaseExpiry(m) {
 			continue
 		}
-		a.env.Log().Info("machine silent, its lease has run out", "machine", m.Name, "tasks", len(m.Placements))
+		a.env.Log().Info("machine silent, its lease has expired", "machine", m.Name, "tasks", len(m.Placements))
 		for _, p := range m.PlacementsCopy() {
 			if p.Durable {
 				a.led.MarkLost(p, model.CauseMachineLost)
@@ -92,39 +93,39 @@
 	}
 }
 
-// stuckFor is how long a start of unknown fate may hold its room after it was
-// called off.
-const stuckFor = 30 * time.Second
+// stuckTimeout is how long a start of unknown outcome may reserve resources after its
+// task was stopped.
+const stuckTimeout = 30 * time.Second
 
-// stuck reports whether the machine's worker is well and doesn't have a task
-// that was called off, but a start sent directly got no answer and may still
-// arrive. It would hold its room for ever; under a higher token it is void.
-func (a *Actor) stuck(m *ledger.Machine) bool {
+// hasStuckStart reports whether the machine's worker reports and doesn't have a stopped
+// task, but a start of it that was sent directly got no answer and may still arrive.
+// Its resources would never become free; a higher token makes the start void.
+func (a *Actor) hasStuckStart(m *ledger.Machine) bool {
 	if len(m.UnconfirmedStarts) == 0 {
 		return false
 	}
 	now := a.env.Now()
 	for _, p := range m.Placements {
-		if !p.Stopping || p.SeenInReport || now-m.LastReport >= 2*a.cfg.Report || !a.mayArrive(m, p) {
+		if !p.Stopping || p.SeenInReport || now-m.LastReport >= 2*a.cfg.Report || !a.startMayArrive(m, p) {
 			continue
 		}
-		if now-p.StopSince > stuckFor || p.StartDeadline > 0 && now > p.StartDeadline {
+		if now-p.StopSince > stuckTimeout || p.StartDeadline > 0 && now > p.StartDeadline {
 			return true
 		}
 	}
 	return false
 }
 
-// voidBy is until when a worker may be answered to whom a start of a job is under way
-// that is found to be cancelled now. The user was told no earlier than our last proof, and
-// a start that arrives later than a lease after that answer finds another session; so the
-// time is that for which a leader without a proof answers (Config.Hold), and the bound the
-// same. Counted from when we heard of the cancellation, in an outage that began meanwhile
-// the start could be executed after cancel_s.
+// voidBy is until when a worker may be answered to which a start is in flight, if the job
+// of that start is found to be cancelled now. The user learned of the cancellation no earlier
+// than the last proof of leading, and a start that arrives later than a lease after the last
+// answer finds another session. The bound is therefore Config.Hold after the proof, the same
+// as for a leader without a proof. If it counted from when the leader learned of the
+// cancellation, a start could be executed after cancel_s in an outage that began meanwhile.
 func (a *Actor) voidBy() time.Duration {
 	proven := a.env.Now()
 	if a.Proven != nil {
 		proven = a.Proven()
 	}
-	return proven + min(stuckFor, a.cfg.Hold)
+	return proven + min(stuckTimeout, a.cfg.Hold)
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -1,6 +1,6 @@
-// Package workers turns workers' reports into facts of the ledger, and the
-// ledger's wishes into orders. It decides when a task is proven absent and
-// when an exited task may be removed from a worker's memory.
+// Package workers updates the ledger from the workers' reports and sends the workers
+// the orders that the ledger requires. It decides when a task is proven absent and when
+// a worker may forget an exited task.
 package workers
 
 import (
@@ -11,7 +11,8 @@
 	"brooklb/internal/model"
 )
 
-// Config of the slice, from the settings.
+// Config holds durations from the settings: of a worker's lease, for which a leader without
+// a proof of leading still answers workers (Hold), and between two reports of a worker.
 type Config struct {
 	Lease, Hold time.Duration
 	Report      time.Duration
@@ -19,38 +20,39 @@
 
 // Actor handles the workers during one term.
 type Actor struct {
-	env     actor.Env
-	led     *ledger.Ledger
-	token   uint64
-	cfg     Config
-	began   time.Duration
-	pushing map[*ledger.Machine]bool
-	stopped bool
-	asking  int // workers asked for their status that have not answered
-	shown   int // workers that were shown our token
-	// Hooks of the term.
-	OnNewer func()                  // a worker has seen a higher token
-	OnTrust func(m *ledger.Machine) // a machine reports for the first time
-	OnStuck func()                  // only a higher token can settle a start
-	// Proven is when it was last certain that nobody had cancelled anything that we don't
-	// know of; nil: always now.
+	env            actor.Env
+	led            *ledger.Ledger
+	token          uint64
+	cfg            Config
+	began          time.Duration
+	pushing        map[*ledger.Machine]bool
+	stopped        bool
+	statusRequests int // status requests without an answer yet
+	tokensSent     int // workers that were sent the term's token
+	// Callbacks of the term.
+	OnHigherToken func()                  // a worker has seen a higher token
+	OnFirstReport func(m *ledger.Machine) // a machine reports for the first time
+	OnStuckStart  func()                  // only a higher token can void a start
+	// Proven is the last time at which this leader certainly knew of all cancellations;
+	// nil: always now.
 	Proven func() time.Duration
-	// Quiet reports whether nothing may be started now, not even what is recorded.
-	Quiet func() bool
-	// Send sends a call to a worker by way of the controller that it reports to; nil: always
-	// straight.
+	// StartsPaused reports whether no task may be started now, even if its placement is
+	// recorded.
+	StartsPaused func() bool
+	// Send sends a call to a worker through the controller that passes on its reports; nil:
+	// always directly.
 	Send func(via string, c actor.Call)
-	// OnEnded hears of a service's task that ended by itself.
-	OnEnded func(p *ledger.Placement, cause string)
+	// OnServiceExit is called for a service's task that ended by itself.
+	OnServiceExit func(p *ledger.Placement, cause string)
 }
 
 const (
 	directTimeout = 2500 * time.Millisecond
-	// Steady clocks drift apart by at most 0.05%.
-	drift = 1.001
+	// clockDrift prolongs a lease, since steady clocks drift apart by at most 0.05%.
+	clockDrift = 1.001
 )
 
-// New makes the actor of a term that began at the given time.
+// New returns the actor of a term that begins now.
 func New(env actor.Env, led *ledger.Ledger, token uint64, cfg Config) *Actor {
 	a := &Actor{env: env, led: led, token: token, cfg: cfg, began: env.Now(), pushing: map[*ledger.Machine]bool{}}
 	led.OnDurable = func(ps []*ledger.Placement) {
@@ -70,58 +72,61 @@
 	return a
 }
 
-// Began is when the term began.
+// Began is the start time of the term.
 func (a *Actor) Began() time.Duration { return a.began }
 
-// Close ends the term: no order is given any more.
+// Close ends the term. The actor gives no more orders.
 func (a *Actor) Close() { a.stopped = true }
 
-// Report takes in a report and returns the orders for the answer.
+// Report processes a report and returns the orders for its answer.
 func (a *Actor) Report(r *model.Report) []model.Order { return a.ReportVia("", r) }
 
-// ReportVia is Report for one that came by way of another controller; orders go that way,
-// too, until the worker reports otherwise.
+// ReportVia is Report for a report that another controller passed on. Orders are sent
+// through that controller, too, until a report arrives by another path.
 func (a *Actor) ReportVia(via string, r *model.Report) []model.Order {
 	if a.led.Returned[r.Machine] {
 		return nil // sent before its machine was returned
 	}
 	m := a.led.Machine(r.Machine)
 	now := a.env.Now()
-	if !a.absorb(r, unasked) {
-		// Held up on its way: what it says is older than what we know. A copy of it gets
-		// an answer that nobody hears; a report that was overtaken by the answer to a
-		// command was sent before that answer, which is as far as it renews the lease.
-		// Counted from now, copies kept dead machines' tasks from being started elsewhere.
+	if !a.applyReport(r, unsolicited) {
+		// The report is older than the last known state, because it was delayed or
+		// duplicated. Nobody receives the answer to a duplicate. A report that was overtaken
+		// by the answer to a command was sent before that answer, and renews the lease only
+		// up to then. When the lease counted from now, duplicates kept dead machines' tasks
+		// from being started elsewhere.
 		m.LastAnswered = max(m.LastAnswered, m.LastReport)
 		return nil
 	}
 	m.LastAnswered = now
 	m.RelayedBy = via
-	if a.stuck(m) && a.OnStuck != nil {
+	if a.hasStuckStart(m) && a.OnStuckStart != nil {
 		// Its lease must not be renewed under this token.
-		a.OnStuck()
+		a.OnStuckStart()
 		return nil
 	}
 	return a.orders(m, true)
 }
 
-// How a report came: by itself, or as the answer to a command or question of ours.
-type way uint8
+// reportOrigin says whether a worker sent a report by itself (unsolicited), or as the
+// answer to a command or a status request (solicited).
+type reportOrigin uint8
 
 const (
-	unasked way = iota
-	asked
+	unsolicited reportOrigin = iota
+	solicited
 )
 
-// absorb takes in a report. It returns false for one that is not newer than what is
-// known.
+// applyReport updates the ledger from a report. It returns false for a report that is not
+// newer than the last one.
 //
-// Until a machine has sent something in this term, which our token in a report shows, or
-// an answer, what comes may be a copy of an old report: what it lists may have ended, and
-// what it calls ended or does not list may have been started since, even as the same
-// attempt (a gang's, placed again). Nothing is concluded from it but that a task is done.
-// The next report, half a second after our first answer, tells.
-func (a *Actor) absorb(r *model.Report, came way) bool {
+// Only a report with the current token, or an answer to a request, shows that the worker sent
+// it in this term. Until then a report may be a late duplicate of an old one: tasks that it
+// lists may have ended, and tasks that it doesn't list or calls ended may have been started
+// since, even as the same attempt (of a gang that was placed again). From such a report
+// the leader only concludes that tasks are done. The worker's next report, half a second
+// after the first answer, settles the rest.
+func (a *Actor) applyReport(r *model.Report, came reportOrigin) bool {
 	if a.led.Returned[r.Machine] {
 		return false
 	}
@@ -136,7 +141,7 @@
 	m.Addr = r.Addr
 	a.led.Describe(m, r.Type, r.Zone, r.Spot)
 	if r.Session > m.Session {
-		// Commands carry the session: what was sent to an earlier one is void.
+		// Commands carry the session, so those to an earlier session are void.
 		m.UnconfirmedStarts = map[model.TaskAttempt]uint64{}
 		m.ConfirmedStarts = map[model.TaskAttempt]time.Duration{}
 		m.SessionSeenAt = now
@@ -146,10 +151,10 @@
 	if r.Token >= a.token && !m.TokenSeen {
 		m.TokenSeen, m.TokenSeenAt = true, now
 	}
-	if r.Token > a.token && a.OnNewer != nil {
-		a.OnNewer()
+	if r.Token > a.token && a.OnHigherToken != nil {
+		a.OnHigherToken()
 	}
-	m.HasFreshReport = m.HasFreshReport || came == asked || r.Token >= a.token
+	m.HasFreshReport = m.HasFreshReport || came == solicited || r.Token >= a.token
 	notice := m.HasFreshReport && r.InterruptionNotice && !m.InterruptionNotice
 	m.InterruptionNotice = m.HasFreshReport && r.InterruptionNotice
 	m.EndedTasks, m.UnexpectedTasks = m.EndedTasks[:0], m.UnexpectedTasks[:0]
@@ -163,7 +168,7 @@
 			}
 		}
 		if p == nil {
-			a.unmatched(m, j, t)
+			a.handleUnmatched(m, j, t)
 			continue
 		}
 		listed[p] = true
@@ -176,7 +181,7 @@
 			p.Phase = t.Phase
 			if t.Phase == model.Running {
 				p.RunSince = now
-				p.RunSinceUncertain = m.ReportGap > a.vague()
+				p.RunSinceUncertain = m.ReportGap > a.maxReportGap()
 				j.Started = true
 			}
 		}
@@ -189,7 +194,7 @@
 		}
 		if t.Phase == model.Exited {
 			m.EndedTasks = append(m.EndedTasks, t)
-			a.exited(p, t)
+			a.handleExit(p, t)
 		} else {
 			p.RestartPending = false
 		}
@@ -197,26 +202,27 @@
 	if m.HasFreshReport {
 		for _, p := range m.PlacementsCopy() {
 			if !listed[p] && p.Durable && !p.Gone {
-				a.unlisted(m, p, came)
+				a.handleUnlisted(m, p, came)
 			}
 		}
 	}
-	a.trim(m)
+	a.trimImageCache(m)
 	if notice {
 		if m.Spot {
 			a.led.SpotInterruptions++
 		}
-		a.env.Log().Info("machine is to be taken away", "machine", m.Name, "in_s", r.InterruptionNoticeS)
+		a.env.Log().Info("machine will be reclaimed", "machine", m.Name, "in_s", r.InterruptionNoticeS)
 		a.drain(m, "machine is being taken away")
 	}
-	if first && a.OnTrust != nil {
-		a.OnTrust(m)
+	if first && a.OnFirstReport != nil {
+		a.OnFirstReport(m)
 	}
 	return true
 }
 
-// trim keeps what is remembered of a machine's image cache within its size.
-func (a *Actor) trim(m *ledger.Machine) {
+// trimImageCache removes the least recently used images from the record of a machine's image
+// cache until the rest fits the cache.
+func (a *Actor) trimImageCache(m *ledger.Machine) {
 	t := a.led.Types[m.Type]
 	if t == nil {
 		return
@@ -237,8 +243,8 @@
 	}
 }
 
-// unmatched is a reported task that the ledger doesn't have there.
-func (a *Actor) unmatched(m *ledger.Machine, j *ledger.Job, t model.TaskReport) {
+// handleUnmatched processes a reported task that the ledger doesn't have on the machine.
+func (a *Actor) handleUnmatched(m *ledger.Machine, j *ledger.Job, t model.TaskReport) {
 	if t.Phase == model.Exited {
 		if t.Cause == model.CauseDone && j != nil && j.Final == ledger.Open && t.Task < len(j.Tasks) &&
 			!j.Tasks[t.Task].Done && j.Tasks[t.Task].CurrentPlacement == nil {
@@ -247,15 +253,15 @@
 		m.EndedTasks = append(m.EndedTasks, t)
 		return
 	}
-	a.env.Log().Info("task nobody placed there, stopping it", "job", t.Job, "task", t.Task, "attempt", t.Attempt, "machine", m.Name)
+	a.env.Log().Info("worker reports a task that is not placed on its machine, stopping it", "job", t.Job, "task", t.Task, "attempt", t.Attempt, "machine", m.Name)
 	m.UnexpectedTasks = append(m.UnexpectedTasks, t)
 	if j != nil && t.Task < len(j.Tasks) {
-		// It must not be started elsewhere while it is seen here.
+		// The task must not be started elsewhere while this worker still reports it.
 		j.Tasks[t.Task].NotBefore = max(j.Tasks[t.Task].NotBefore, a.env.Now()+2*a.cfg.Report)
 	}
 }
 
-// drain saves what can be saved before a machine is taken.
+// drain evicts all tasks of a machine that is about to be returned or reclaimed.
 func (a *Actor) drain(m *ledger.Machine, why string) {
 	for _, p := range m.PlacementsCopy() {
 		if p.Gone || p.Stopping {
@@ -266,12 +272,12 @@
 	m.NoPlacementBefore = a.env.Now() + time.Hour
 }
 
-// Evict stops a task, or the whole gang it belongs to, so that its progress is
-// saved where that is possible.
+// Evict stops a task, or the whole gang it belongs to, and saves its progress if that is
+// possible.
 func (a *Actor) Evict(p *ledger.Placement, why string) {
 	if p.Job.Spec.Kind != model.Gang {
 		if p.Job.Spec.CheckpointS <= 0 && p.Phase == model.Running {
-			return // can't save: it may yet complete
+			return // it can't save its progress, but may still complete
 		}
 		a.led.Stop(p, p.Grace(), why)
 		return
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -13,12 +13,13 @@
 	"brooklb/internal/statestore"
 )
 
-// env runs timers by hand; direct commands get no answer unless a test gives one.
+// env is an environment whose timers a test runs. Direct commands get no answer unless the
+// test sets one.
 type env struct {
 	now    time.Duration
 	timers actor.Timers
 	calls  int
-	answer func(actor.Call) actor.Answer // to direct commands; nil: none comes
+	answer func(actor.Call) actor.Answer // to direct commands; nil: no answer
 }
 
 func (e *env) Now() time.Duration { return e.now }
@@ -39,15 +40,15 @@
 	}
 }
 
-// TestStuckStart guards against a start of unknown fate that holds its room
-// for ever after it was called off, and against freeing the room too early.
+// TestStuckStart guards against a start of unknown outcome that reserves resources
+// permanently after its task was stopped, and against freeing the resources too early.
 func TestStuckStart(t *testing.T) {
 	e := &env{now: time.Minute}
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 10, WriteRPS: 10, Nodes: 1, TxnOps: 8}), 7, []settings.Team{{Name: "t"}})
 	l.Types["g"] = &model.MachineType{Name: "g", Cap: model.Resources{CPUs: 8}}
 	a := New(e, l, 7, Config{Lease: 30 * time.Second, Hold: 20 * time.Second, Report: 3 * time.Second})
-	asked := 0
-	a.OnStuck = func() { asked++ }
+	tokenRequests := 0
+	a.OnStuckStart = func() { tokenRequests++ }
 	rec := ledger.NewRecord(&model.Spec{ID: "j-1", Team: "t", Tasks: 1, Resources: model.Resources{CPUs: 1}, Image: "i"}, 0, "", 48)
 	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Stamp: 1})
 	seq := uint64(0)
@@ -63,40 +64,41 @@
 	e.now += 10 * time.Millisecond
 	e.timers.Run(e.now)
 	if e.calls == 0 || len(m.UnconfirmedStarts) != 1 {
-		t.Fatalf("%d direct commands, %d of unknown fate", e.calls, len(m.UnconfirmedStarts))
+		t.Fatalf("%d direct commands, %d starts of unknown outcome", e.calls, len(m.UnconfirmedStarts))
 	}
-	l.Stop(p, 0, "called off")
+	l.Stop(p, 0, "stopped by the test")
 	for range 15 {
 		e.now += 3 * time.Second
 		for _, o := range report() {
 			if o.Op == model.Start {
-				t.Error("started after it was called off")
+				t.Error("task started after it was stopped")
 			}
 		}
 		if p.Gone {
-			t.Fatal("its room was freed while the start may arrive")
+			t.Fatal("resources freed while the start may still arrive")
 		}
 		a.Tick()
-		if asked > 0 && e.now-p.StopSince < stuckFor {
-			t.Fatal("asked for a new token too early")
+		if tokenRequests > 0 && e.now-p.StopSince < stuckTimeout {
+			t.Fatal("new token requested too early")
 		}
 	}
-	if asked == 0 {
-		t.Fatal("nobody asked for a new token")
+	if tokenRequests == 0 {
+		t.Fatal("no new token requested")
 	}
 	seq++
 	a.Report(&model.Report{Machine: "m", Addr: "x", Type: "g", Zone: "z", Session: 2, Seq: 1, Token: 7})
 	if !p.Gone || m.Used.CPUs != 0 {
-		t.Error("a later session doesn't free the room")
+		t.Error("a later session doesn't free the resources")
 	}
 }
 
-// TestStartsThatAreKept guards against a machine with more starts of which copies may come
-// than its worker can keep: the others go in the answer to a report, none is lost, and what
-// was started directly is not forgotten, done or not, while a copy may come.
+// TestStartsThatAreKept guards against more direct starts to a machine than its worker can
+// remember while duplicates of them may arrive. The other starts go in the answer to a
+// report, none is lost, and no directly started attempt, done or not, is forgotten while a
+// duplicate may arrive.
 func TestStartsThatAreKept(t *testing.T) {
-	most := ledger.MaxDirectStarts(model.Low)
-	tasks := 2*most + 5
+	maxDirect := ledger.MaxDirectStarts(model.Low)
+	tasks := 2*maxDirect + 5
 	e := &env{now: time.Minute}
 	e.answer = func(actor.Call) actor.Answer { return actor.Answer{Status: 200} }
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 10, WriteRPS: 10, Nodes: 1, TxnOps: 8}), 7, []settings.Team{{Name: "t"}})
@@ -125,8 +127,8 @@
 	a.Push(m)
 	e.now += 10 * time.Millisecond
 	e.timers.Run(e.now)
-	if e.calls != 1 || len(m.ConfirmedStarts) != most {
-		t.Fatalf("%d commands with %d starts, want one with %d", e.calls, len(m.ConfirmedStarts), most)
+	if e.calls != 1 || len(m.ConfirmedStarts) != maxDirect {
+		t.Fatalf("%d commands with %d starts, want one with %d", e.calls, len(m.ConfirmedStarts), maxDirect)
 	}
 	var done []model.TaskReport
 	for i := range tasks {
@@ -134,19 +136,19 @@
 			done = append(done, model.TaskReport{Job: "j-1", Task: i, Attempt: 1, Phase: model.Exited, Cause: model.CauseDone})
 		}
 	}
-	rec.Final = ledger.Cancelled // nothing of it has to become durable any more
+	rec.Final = ledger.Cancelled // so that nothing of the job has to become durable any more
 	if n, _ := count(); n != tasks {
 		t.Errorf("%d starts in the answer to a report, want all %d", n, tasks)
 	}
 	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Stamp: 2})
 	if _, n := count(done...); n > 0 {
-		t.Errorf("%d attempts are forgotten of which copies may come", n)
+		t.Errorf("%d attempts forgotten while duplicates of their starts may arrive", n)
 	}
-	e.now += copiesFor
-	if _, n := count(done...); n != most {
-		t.Errorf("%d attempts are forgotten in the end, want %d", n, most)
+	e.now += duplicateWindow
+	if _, n := count(done...); n != maxDirect {
+		t.Errorf("%d attempts forgotten after the window for duplicates, want %d", n, maxDirect)
 	}
 	if len(m.ConfirmedStarts) > 0 {
-		t.Errorf("%d starts are remembered for ever", len(m.ConfirmedStarts))
+		t.Errorf("%d starts never forgotten", len(m.ConfirmedStarts))
 	}
 }
