--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -40,7 +40,7 @@
 	// for. understood is false while a controller runs whose program doesn't count them.
 	CheckUnits func(s *model.Spec) (understood bool, err error)
 	// Gate admits submissions. If it is nil, all are admitted.
-	Gate    *intake.Gate
+	Gate    *intake.FairQueue
 	pumping bool
 	// Healthy reports whether the node can take requests.
 	Healthy func() bool
@@ -270,7 +270,7 @@
 const pumpEvery = 20 * time.Millisecond
 
 func (a *Actor) pump() {
-	a.pumping = a.Gate.Pump(a.env.Now())
+	a.pumping = a.Gate.Dispatch(a.env.Now())
 	if a.pumping {
 		a.env.After(pumpEvery, a.pump)
 	}
@@ -280,7 +280,7 @@
 // their users may have given up.
 func (a *Actor) Paused() {
 	if a.Gate != nil {
-		a.Gate.Drop(a.env.Now())
+		a.Gate.RefuseAll(a.env.Now())
 	}
 }
 
--- a/internal/fleet/boots.go
+++ b/internal/fleet/boots.go
@@ -7,86 +7,88 @@
 	"brooklb/internal/ledger"
 )
 
-// boots learns how long machines take to come up, by type and zone, from those
-// rented in this term. What the cloud says of a type is only where it starts
-// from: at times machines take several times as long, come within a second, or
-// never come.
-type boots struct {
-	pools  map[place]*bootTimes
-	lookAt time.Duration
+// bootEstimator estimates how long machines take to boot, by type and zone, from those
+// rented in this term. The boot time that the cloud states for a type is only the first
+// estimate: at times machines take several times as long, come up within a second, or
+// never come up.
+type bootEstimator struct {
+	stats     map[typeZone]*bootStats
+	updatedAt time.Duration
 }
 
-// place is a type in a zone, or in all of them ("").
-type place struct{ typ, zone string }
+// typeZone is a machine type in a zone, or in all zones ("").
+type typeZone struct{ typ, zone string }
 
-type bootTimes struct {
-	seen    []bootSeen    // the last ones to come up
-	typical time.Duration // of those and of the ones still awaited; 0: too few
+type bootStats struct {
+	samples []bootSample  // of the last machines to come up or to be given up
+	typical time.Duration // the median of those and of machines still booting; 0: too few
 }
 
-type bootSeen struct{ at, took time.Duration }
+type bootSample struct{ at, took time.Duration }
 
 const (
-	// The cloud's figure is exceeded by so much on average.
-	usualBoot = 1.1
-	// How many boots are remembered, for how long, and how many it takes to
-	// believe them more than the cloud. All of a large rental have to be: of 1,200
-	// machines some 26 never came, and next to the last 16 that did they made
-	// boots as a whole look slower and slower, so that none was given up.
-	bootsKept   = 2000
-	bootsFor    = 4 * time.Minute
-	bootsEnough = 3
-	// Boots vary by this much around the typical one. What comes first of some
-	// rented together is faster than the typical, so that only boots below the
-	// usual range make it shorter than the cloud says.
-	fastBoot = 0.55
-	slowBoot = 1.4
-	// A machine that is later than that is expected to take this part of its age
-	// more: the longer it takes, the longer it will still take.
-	lateShare = 0.5
-	// A machine is given up after this many typical boots.
-	lateBoot = 2
-	// Boots as a whole are taken for at most so many times as long as the cloud
-	// says when it is asked whether to give one up.
-	mostBoots = 2
-	// How much dearer a pool counts for each nominal boot that it takes longer.
-	slowCost = 0.5
+	// meanBootFactor is the ratio of the mean boot time to the one that the cloud states.
+	meanBootFactor = 1.1
+	// maxBootSamples and bootSampleAge limit the samples that are kept, minBootSamples is
+	// how many are needed for an estimate. Samples of a whole large rental must fit: of
+	// 1,200 machines 26 never came up, and compared with just the last 16 that did they
+	// made boots look slower and slower, so that none of them was given up.
+	maxBootSamples = 2000
+	bootSampleAge  = 4 * time.Minute
+	minBootSamples = 3
+	// Boot times usually lie between fastBootFactor and slowBootFactor times the typical
+	// one. The first machines of a rental to come up are faster than the typical one, so
+	// that the estimate may be less than the cloud's figure only if it is at most
+	// fastBootFactor times that figure.
+	fastBootFactor = 0.55
+	slowBootFactor = 1.4
+	// overdueFactor is the part of its age that a machine beyond that range is expected
+	// to take in addition: the longer it has taken, the longer it will still take.
+	overdueFactor = 0.5
+	// abandonFactor is after how many typical boots a machine is given up.
+	abandonFactor = 2
+	// maxBootFactor limits the typical boot to this multiple of the cloud's figure when
+	// deciding whether to give up a machine.
+	maxBootFactor = 2
+	// slowBootCost is the part of its price by which a pool counts as more expensive for
+	// each nominal boot time that its boots take longer.
+	slowBootCost = 0.5
 )
 
-func newBoots() *boots { return &boots{pools: map[place]*bootTimes{}} }
+func newBootEstimator() *bootEstimator { return &bootEstimator{stats: map[typeZone]*bootStats{}} }
 
-func (b *boots) pool(p place) *bootTimes {
-	if b.pools[p] == nil {
-		b.pools[p] = &bootTimes{}
+func (b *bootEstimator) statsFor(p typeZone) *bootStats {
+	if b.stats[p] == nil {
+		b.stats[p] = &bootStats{}
 	}
-	return b.pools[p]
+	return b.stats[p]
 }
 
-// look takes in the machines that have come up, and those that have not.
-func (b *boots) look(l *ledger.Ledger, now time.Duration) {
-	if now-b.lookAt < time.Second {
+// update records, at most once a second, which machines have come up and which have not.
+func (b *bootEstimator) update(l *ledger.Ledger, now time.Duration) {
+	if now-b.updatedAt < time.Second {
 		return
 	}
-	b.lookAt = now
-	b.take(l.MachinesByName(), now)
+	b.updatedAt = now
+	b.record(l.MachinesByName(), now)
 }
 
-// gaveUp notes a machine that is returned before it came up: its place must not
-// look as if boots were as usual there only because nothing is left to wait for.
-func (b *boots) gaveUp(m *ledger.Machine, now time.Duration) {
+// recordAbandoned records a machine that is returned before it came up. Otherwise boots in
+// its zone would look normal just because no machine there is booting any more.
+func (b *bootEstimator) recordAbandoned(m *ledger.Machine, now time.Duration) {
 	if !m.Booting {
 		return
 	}
 	m.Booting = false
 	age := now - m.RentedAt
-	for _, p := range []place{{m.Type, m.Zone}, {m.Type, ""}} {
-		t := b.pool(p)
-		t.seen = append(t.seen, bootSeen{now, age + time.Duration(lateShare*float64(age))})
+	for _, p := range []typeZone{{m.Type, m.Zone}, {m.Type, ""}} {
+		t := b.statsFor(p)
+		t.samples = append(t.samples, bootSample{now, age + time.Duration(overdueFactor*float64(age))})
 	}
 }
 
-func (b *boots) take(ms []*ledger.Machine, now time.Duration) {
-	waiting := map[place][]time.Duration{}
+func (b *bootEstimator) record(ms []*ledger.Machine, now time.Duration) {
+	awaited := map[typeZone][]time.Duration{}
 	for _, m := range ms {
 		if !m.Booting || !m.TypeKnown {
 			continue
@@ -94,29 +96,29 @@
 		if m.Reported {
 			m.Booting = false
 		}
-		// The type as a whole, too: what ails one zone mostly ails all.
-		for _, p := range []place{{m.Type, m.Zone}, {m.Type, ""}} {
-			t := b.pool(p)
+		// The type in all zones counts, too: most faults affect all zones.
+		for _, p := range []typeZone{{m.Type, m.Zone}, {m.Type, ""}} {
+			t := b.statsFor(p)
 			if m.Reported {
-				t.seen = append(t.seen, bootSeen{now, max(0, now-m.RentedAt)})
-				t.seen = slices.Delete(t.seen, 0, max(0, len(t.seen)-bootsKept))
+				t.samples = append(t.samples, bootSample{now, max(0, now-m.RentedAt)})
+				t.samples = slices.Delete(t.samples, 0, max(0, len(t.samples)-maxBootSamples))
 			} else {
-				waiting[p] = append(waiting[p], now-m.RentedAt)
+				awaited[p] = append(awaited[p], now-m.RentedAt)
 			}
 		}
 	}
-	for p, t := range b.pools {
-		t.seen = slices.DeleteFunc(t.seen, func(s bootSeen) bool { return now-s.at > bootsFor })
-		t.learn(waiting[p])
+	for p, t := range b.stats {
+		t.samples = slices.DeleteFunc(t.samples, func(s bootSample) bool { return now-s.at > bootSampleAge })
+		t.estimate(awaited[p])
 	}
 }
 
-// learn finds the typical boot: the median of those seen, and of those awaited
-// for longer than that by what they are expected to take in the end.
-func (t *bootTimes) learn(waiting []time.Duration) {
+// estimate sets the typical boot: the median of the samples and of the expected boot times
+// of those machines that have been booting for longer than the median of the samples.
+func (t *bootStats) estimate(awaited []time.Duration) {
 	t.typical = 0
 	var all []time.Duration
-	for _, s := range t.seen {
+	for _, s := range t.samples {
 		all = append(all, s.took)
 	}
 	slices.Sort(all)
@@ -124,51 +126,51 @@
 	if len(all) > 0 {
 		base = all[len(all)/2]
 	}
-	for _, age := range waiting {
+	for _, age := range awaited {
 		if age > base {
-			all = append(all, age+left(base, age))
+			all = append(all, age+remainingBoot(base, age))
 		}
 	}
-	if len(all) < bootsEnough {
+	if len(all) < minBootSamples {
 		return
 	}
 	slices.Sort(all)
 	t.typical = all[len(all)/2]
 }
 
-// boot is how long a machine rented now is likely to take.
-func (a *Actor) boot(typ, zone string) time.Duration {
+// expectedBoot returns how long a machine rented now is likely to boot.
+func (a *Actor) expectedBoot(typ, zone string) time.Duration {
 	nominal := time.Duration(0)
 	if t := a.led.Types[typ]; t != nil {
-		nominal = time.Duration(t.BootS * usualBoot * float64(time.Second))
+		nominal = time.Duration(t.BootS * meanBootFactor * float64(time.Second))
 	}
-	p := a.boots.pools[place{typ, zone}]
+	p := a.boots.stats[typeZone{typ, zone}]
 	if p == nil || p.typical == 0 {
-		p = a.boots.pools[place{typ, ""}]
+		p = a.boots.stats[typeZone{typ, ""}]
 	}
 	if p == nil || p.typical == 0 {
 		return nominal
 	}
-	if len(p.seen) < bootsEnough || p.typical.Seconds() > fastBoot*nominal.Seconds() {
+	if len(p.samples) < minBootSamples || p.typical.Seconds() > fastBootFactor*nominal.Seconds() {
 		return max(nominal, p.typical)
 	}
 	return p.typical
 }
 
-// left is how long a machine of some age is likely to take still.
-func left(typical, age time.Duration) time.Duration {
-	most := time.Duration(slowBoot * float64(typical))
+// remainingBoot returns how much longer a machine of the given age is likely to boot.
+func remainingBoot(typical, age time.Duration) time.Duration {
+	most := time.Duration(slowBootFactor * float64(typical))
 	switch {
 	case age < typical:
 		return typical - age
 	case age < most:
 		return (most - age) / 2
 	}
-	return time.Duration(lateShare * float64(age))
+	return time.Duration(overdueFactor * float64(age))
 }
 
-// upAt is when a machine that has not come up yet is likely to.
-func (a *Actor) upAt(m *ledger.Machine) time.Duration {
+// expectedUpAt returns when a machine that is still booting is likely to come up.
+func (a *Actor) expectedUpAt(m *ledger.Machine) time.Duration {
 	now := a.env.Now()
-	return now + max(2*time.Second, left(a.boot(m.Type, m.Zone), now-m.RentedAt))
+	return now + max(2*time.Second, remainingBoot(a.expectedBoot(m.Type, m.Zone), now-m.RentedAt))
 }
--- a/internal/fleet/boots_test.go
+++ b/internal/fleet/boots_test.go
@@ -8,13 +8,13 @@
 	"brooklb/internal/model"
 )
 
-// TestBootsLearned feeds rentals to the estimate: what a boot is thought to take
-// follows from all of them, those that have come and those that have not.
+// TestBootsLearned checks that the estimated boot time follows from all rented machines,
+// those that have come up and those that have not.
 func TestBootsLearned(t *testing.T) {
 	s := time.Second
 	for _, c := range []struct {
 		name      string
-		come      []time.Duration // each a hundred machines
+		bootTimes []time.Duration // each of a hundred machines
 		never     int
 		at        time.Duration
 		low, high time.Duration
@@ -26,22 +26,22 @@
 		{"few seen", nil, 2, 200 * s, 44 * s, 44 * s},
 	} {
 		l := &ledger.Ledger{Types: map[string]*model.MachineType{"g": {Name: "g", BootS: 40}}, Machines: map[string]*ledger.Machine{}}
-		a := &Actor{led: l, boots: newBoots()}
+		a := &Actor{led: l, boots: newBootEstimator()}
 		var ms []*ledger.Machine
 		for range c.never {
 			ms = append(ms, &ledger.Machine{Type: "g", Zone: "z", TypeKnown: true, Booting: true})
 		}
 		from := len(ms)
-		for range 100 * len(c.come) {
+		for range 100 * len(c.bootTimes) {
 			ms = append(ms, &ledger.Machine{Type: "g", Zone: "z", TypeKnown: true, Booting: true})
 		}
 		for now := s; now <= c.at; now += s {
 			for i, m := range ms {
-				m.Reported = i >= from && now >= c.come[(i-from)/100]
+				m.Reported = i >= from && now >= c.bootTimes[(i-from)/100]
 			}
-			a.boots.take(ms, now)
+			a.boots.record(ms, now)
 		}
-		if got := a.boot("g", "z"); got < c.low || got > c.high {
+		if got := a.expectedBoot("g", "z"); got < c.low || got > c.high {
 			t.Errorf("%s: %v, want %v to %v", c.name, got, c.low, c.high)
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet rents machines for waiting work and returns those that cost
-// more than they save. It also keeps the picture of what is rented true: the
+// more than they save. It also keeps the record of the rented machines up to date: the
 // cloud's list lags, requests may be executed late, and machines may fail.
 package fleet
 
@@ -17,20 +17,21 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// TypesKey holds the machine types for the nodes that don't ask the cloud.
+// TypesKey is the key of the machine types in the state service, for the nodes that don't
+// ask the cloud.
 const TypesKey = statestore.Prefix + "types"
 
-// Config of the slice.
+// Config holds the settings of an Actor.
 type Config struct {
-	Charter  uint64 // names rental requests, together with a count; it never recurs
-	Cloud    string
-	RPS      float64
-	Share    float64 // of a core, that the process has; 0: all of it
-	ListLag  time.Duration
-	Report   time.Duration
-	IdleKeep time.Duration // an idle machine beyond the headroom is returned after this
-	Patience time.Duration // work is rented for if it would wait this much longer than a new machine takes
-	Headroom float64       // part of the work arriving during a boot that is kept in idle machines
+	RentalID       uint64 // part of the IDs of rental requests; differs between terms
+	CloudAddr      string
+	RPS            float64
+	CPUShare       float64 // part of a core that the process may use; 0: a whole core
+	ListLag        time.Duration
+	ReportInterval time.Duration
+	IdleTimeout    time.Duration // after which an idle machine beyond the headroom is returned
+	WaitTolerance  time.Duration // a machine is rented for work that would otherwise start later by more than this
+	Headroom       float64       // part of the work arriving during a boot for which idle machines are kept
 }
 
 type pool struct {
@@ -38,7 +39,7 @@
 	spot      bool
 }
 
-// Actor looks after the machines during one term.
+// Actor manages the rented machines during one term.
 type Actor struct {
 	env     actor.Env
 	led     *ledger.Ledger
@@ -49,46 +50,46 @@
 	began   time.Duration
 	stopped bool
 
-	charters  int
-	refused   map[pool]time.Duration // no capacity: not asked again before
-	renting   map[pool]int
-	returning bool
-	listing   bool
-	listedAt  time.Duration
-	typesAt   time.Duration
-	watchedAt time.Duration
-	ticked    time.Duration
-	resumed   time.Duration // when planning went on after the proof of leading was gone
-	behind    bool          // what was lost then is not planned or written again yet
-	listOnce  bool
-	seen      map[string]bool
-	want      map[string]time.Duration // to be returned: name -> since
-	arrivals  []arrival
-	inflow    inflow
-	counted   map[string]bool
-	boots     *boots
-	// OnChange is called when machines were added or removed.
+	rentalCount  int
+	refusedUntil map[pool]time.Duration // after a refusal: no request before this time
+	renting      map[pool]int
+	returning    bool
+	listing      bool
+	listedAt     time.Duration
+	typesAt      time.Duration
+	checkedAt    time.Duration
+	tickedAt     time.Duration
+	resumedAt    time.Duration // when planning resumed after a time without proof of leading
+	catchingUp   bool          // since then, changes are still waiting to be written
+	hasList      bool
+	listedNames  map[string]bool
+	toReturn     map[string]time.Duration // machine name -> since when
+	arrivals     []arrival
+	inflow       inflow
+	countedJobs  map[string]bool
+	boots        *bootEstimator
+	// OnChange is called when machines or their availability may have changed.
 	OnChange func()
 }
 
 type arrival struct {
 	at     time.Duration
 	size   float64 // in machines
-	prompt bool    // of a class that is to start within a stated time
+	prompt bool    // its class has an objective for the start
 	prio   model.Priority
 }
 
 const callTimeout = 4 * time.Second
 
-// After so long without a Tick there was no proof of leading: nothing could be placed on
-// machines that fell empty, and new ones could not be heard. All of them were returned as idle
-// as soon as a long outage was over, and as many rented again.
-const away = 3 * time.Second
+// maxTickGap is the longest time between Ticks with proof of leading. Without that proof
+// nothing could be placed on machines that became idle, and new machines could not report:
+// all of them were returned as idle right after a long outage, and as many rented again.
+const maxTickGap = 3 * time.Second
 
-// New makes the actor of a term.
+// New creates the actor of a term.
 func New(env actor.Env, led *ledger.Ledger, store *statestore.Store, token uint64, cfg Config) *Actor {
-	a := &Actor{env: env, led: led, store: store, token: token, cfg: cfg, began: env.Now(), refused: map[pool]time.Duration{},
-		renting: map[pool]int{}, want: map[string]time.Duration{}, listedAt: -time.Hour, typesAt: -time.Hour, counted: map[string]bool{}, boots: newBoots()}
+	a := &Actor{env: env, led: led, store: store, token: token, cfg: cfg, began: env.Now(), refusedUntil: map[pool]time.Duration{},
+		renting: map[pool]int{}, toReturn: map[string]time.Duration{}, listedAt: -time.Hour, typesAt: -time.Hour, countedJobs: map[string]bool{}, boots: newBootEstimator()}
 	a.bucket.SetRate(cfg.RPS*0.8, max(1, cfg.RPS*1.2))
 	if it, ok := store.Peek(TypesKey); ok {
 		if ts, err := DecodeTypes(it.Value); err == nil {
@@ -112,7 +113,7 @@
 	}
 }
 
-// EncodeTypes makes the value of TypesKey.
+// EncodeTypes encodes the value of TypesKey.
 func EncodeTypes(ts []model.MachineType) []byte {
 	b, err := json.Marshal(ts)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return b
 }
 
-// DecodeTypes reads the value of TypesKey.
+// DecodeTypes decodes the value of TypesKey.
 func DecodeTypes(b []byte) ([]model.MachineType, error) {
 	var ts []model.MachineType
 	err := json.Unmarshal(b, &ts)
@@ -132,7 +133,7 @@
 	if !a.bucket.Take(a.env.Now(), 1, 0) {
 		return false
 	}
-	a.env.Call(actor.Call{Addr: a.cfg.Cloud, Method: method, Path: path, Body: body, Timeout: callTimeout, Done: func(ans actor.Answer) {
+	a.env.Call(actor.Call{Addr: a.cfg.CloudAddr, Method: method, Path: path, Body: body, Timeout: callTimeout, Done: func(ans actor.Answer) {
 		if !a.stopped {
 			done(ans)
 		}
@@ -140,32 +141,32 @@
 	return true
 }
 
-// Tick does what is due: returns first, since they end costs and prove things
-// gone, then the list, then the types.
+// Tick does what is due. Returns precede the list of machines, since they end costs and
+// confirm that machines are gone.
 func (a *Actor) Tick() {
 	now := a.env.Now()
-	if a.ticked > 0 && now-a.ticked > away {
-		a.resumed, a.behind = now, true
+	if a.tickedAt > 0 && now-a.tickedAt > maxTickGap {
+		a.resumedAt, a.catchingUp = now, true
 	}
-	if a.behind {
-		// Nothing is planned while much waits to be written: that machines are idle then
-		// says nothing.
-		if a.behind = a.led.WriteBacklogS(model.Low) > 0; a.behind {
-			a.resumed = now
+	if a.catchingUp {
+		// Nothing is planned while changes wait to be written, so that a machine may be
+		// idle although there is work for it.
+		if a.catchingUp = a.led.WriteBacklogS(model.Low) > 0; a.catchingUp {
+			a.resumedAt = now
 		}
 	}
-	a.ticked = now
+	a.tickedAt = now
 	if len(a.led.Types) == 0 || now-a.typesAt > 30*time.Second {
 		a.askTypes()
 	}
-	a.boots.look(a.led, now)
+	a.boots.update(a.led, now)
 	a.sendReturns()
 	if !a.listing && now-a.listedAt > 3*time.Second {
 		a.list()
 	}
-	if now-a.watchedAt >= time.Second {
-		a.watchedAt = now
-		a.watchMachines()
+	if now-a.checkedAt >= time.Second {
+		a.checkedAt = now
+		a.checkMachines()
 	}
 }
 
@@ -180,19 +181,19 @@
 		}
 		ts, err := wire.DecodeMachineTypes(ans.Body)
 		if err != nil {
-			a.env.Log().Error("bad answer of the cloud", "err", err)
+			a.env.Log().Error("invalid response from the cloud", "err", err)
 			return
 		}
 		a.setTypes(ts)
-		a.publish(ts)
+		a.publishTypes(ts)
 	}) {
 		a.typesAt = last
 	}
 }
 
-// publish writes the types for the other nodes when their shapes changed;
-// prices move all the time and matter to the leader only.
-func (a *Actor) publish(ts []model.MachineType) {
+// publishTypes writes the types for the other nodes if more than prices and boot times has
+// changed. Those matter to the leader only, and prices change all the time.
+func (a *Actor) publishTypes(ts []model.MachineType) {
 	shape := append([]model.MachineType(nil), ts...)
 	stamp := uint64(0)
 	if it, ok := a.store.Peek(TypesKey); ok {
--- a/internal/fleet/headroom.go
+++ b/internal/fleet/headroom.go
@@ -8,19 +8,20 @@
 	"brooklb/internal/model"
 )
 
-// Arrived notes new work, from which the headroom is learned.
-func (a *Actor) Arrived(j *ledger.Job, prompt, within bool) {
-	if a.counted[j.Spec.ID] {
+// RecordArrival records a new job for the estimates of the headroom and the inflow. Prompt:
+// its class has an objective for the start; within: it is promised by its team's guarantee.
+func (a *Actor) RecordArrival(j *ledger.Job, prompt, within bool) {
+	if a.countedJobs[j.Spec.ID] {
 		return
 	}
-	a.counted[j.Spec.ID] = true
+	a.countedJobs[j.Spec.ID] = true
 	a.inflow.add(j.AcceptedAt, j.Spec.Priority, a.machines(j.Spec, j.Spec.Tasks)*j.EstimateS())
 	if prompt || within {
 		a.arrivals = append(a.arrivals, arrival{j.AcceptedAt, a.machines(j.Spec, j.Spec.Tasks), prompt, j.Spec.Priority})
 	}
 }
 
-// machines is how many machines n tasks fill.
+// machines returns how many machines n tasks fill.
 func (a *Actor) machines(s *model.Spec, n int) float64 {
 	best := math.Inf(1)
 	for _, t := range a.led.Types {
@@ -50,11 +51,11 @@
 
 const (
 	arrivalWindow = 3 * time.Minute
-	// What came in less time than this counts as if it had come over all of it.
-	leastSpan = 30 * time.Second
+	// Work that arrived within less than minArrivalSpan is averaged over all of it.
+	minArrivalSpan = 30 * time.Second
 )
 
-// longestBoot is the longest nominal boot of all types, in seconds.
+// longestBoot returns the longest nominal boot of all types, in seconds.
 func (a *Actor) longestBoot() float64 {
 	boot := 0.0
 	for _, t := range a.led.Types {
@@ -63,8 +64,8 @@
 	return boot
 }
 
-// headroom is how many idle machines to keep for work that is to start at
-// once. Machines whose tasks may be stopped for it are as good as idle.
+// headroom returns how many idle machines to keep for work that is to start at once.
+// Machines of which all tasks may be stopped for it count as idle.
 func (a *Actor) headroom() int {
 	now := a.env.Now()
 	prompt, other := 0.0, 0.0
@@ -86,11 +87,10 @@
 	}
 	a.arrivals = a.arrivals[:k]
 	boot := a.longestBoot()
-	// They came over this time, and not since this process began: after a crash
-	// of all, three minutes' work once counted as if it had come in half a
-	// minute, and each new leader rented 300 machines too many (lumiar fleet,
-	// restart).
-	span := max(leastSpan, now-oldest).Seconds()
+	// The span begins with the oldest arrival, not with the process: after all
+	// controllers had crashed, the work of three minutes was counted as that of half a
+	// minute, and each new leader rented 300 machines too many.
+	span := max(minArrivalSpan, now-oldest).Seconds()
 	prompt *= boot / span
 	other *= boot / span
 	if prompt > 0 {
--- a/internal/fleet/headroom_test.go
+++ b/internal/fleet/headroom_test.go
@@ -16,8 +16,8 @@
 
 func (c clock) Now() time.Duration { return c.now }
 
-// TestHeadroomAfterCrash guards against a leader that was just started and takes
-// three minutes' work for what came since: the same arrivals ask for the same
+// TestHeadroomAfterCrash guards against a newly started leader that counts the work of
+// three minutes as work that arrived since its start. The same arrivals need the same
 // headroom, however long the process has run.
 func TestHeadroomAfterCrash(t *testing.T) {
 	headroom := func(now time.Duration, each time.Duration, n int) int {
@@ -28,12 +28,13 @@
 		}
 		return a.headroom()
 	}
-	// A machine a second, for a boot of 60 s, of which half is kept.
+	// Work for one machine arrives each second, a boot takes 60 s, and machines are kept for
+	// half of what arrives during one.
 	old, young := headroom(time.Hour, 2*time.Second, 80), headroom(2*time.Second, 2*time.Second, 80)
 	if old != 30 || young != old {
 		t.Errorf("headroom %d of a process that has run for an hour, %d of one just started, want 30", old, young)
 	}
-	// What came within seconds is not yet a rate.
+	// A burst is averaged over minArrivalSpan.
 	if burst := headroom(2*time.Second, 10*time.Millisecond, 30); burst != 60 {
 		t.Errorf("headroom %d after a burst of 60 machines' worth, want 60", burst)
 	}
--- a/internal/fleet/inflow.go
+++ b/internal/fleet/inflow.go
@@ -7,24 +7,24 @@
 	"brooklb/internal/placement"
 )
 
-// inflow is how much work of each priority has come lately.
+// inflow is the work of each priority that arrived within inflowWindow.
 type inflow [model.Production + 1][]work
 
-// work is a job's, in machines times seconds.
+// work is the work of one job, in machines times seconds.
 type work struct {
 	at     time.Duration
 	amount float64
 }
 
-// inflowWindow is the time over which it is averaged.
+// inflowWindow is the time over which the inflow is averaged.
 const inflowWindow = 2 * time.Minute
 
 func (in *inflow) add(at time.Duration, prio model.Priority, amount float64) {
 	in[prio] = append(in[prio], work{at, amount})
 }
 
-// rate is how many machines the work of a priority that comes keeps busy. As with the
-// headroom it came over the time since its oldest, not since this process began.
+// rate returns how many machines the arriving work of a priority keeps busy. It is averaged
+// over the time since the oldest arrival, not since the process began, as in headroom.
 func (in *inflow) rate(prio model.Priority, now time.Duration) float64 {
 	sum, oldest, k := 0.0, now, 0
 	for _, w := range in[prio] {
@@ -36,28 +36,28 @@
 		}
 	}
 	in[prio] = in[prio][:k]
-	return sum / max(leastSpan, now-oldest).Seconds()
+	return sum / max(minArrivalSpan, now-oldest).Seconds()
 }
 
-// queued are the teams whose work beyond their limits (over, in machines times seconds)
-// takes all that theirs leaves for as long as a boot.
-func (a *Actor) queued(over map[string]float64) map[string]bool {
+// saturatedTeams reports for each team whether its work beyond its limit (overLimit, in
+// machines times seconds) is more than its machines in use can do during a boot.
+func (a *Actor) saturatedTeams(overLimit map[string]float64) map[string]bool {
 	busy := map[string]float64{}
 	for _, j := range a.led.Order() {
-		if j.Placed > 0 && over[j.Spec.Team] > 0 {
+		if j.Placed > 0 && overLimit[j.Spec.Team] > 0 {
 			busy[j.Spec.Team] += a.machines(j.Spec, j.Placed)
 		}
 	}
 	boot := a.longestBoot()
 	out := map[string]bool{}
-	for team, x := range over {
+	for team, x := range overLimit {
 		out[team] = x > busy[team]*boot
 	}
 	return out
 }
 
-// retaken is which part of what running tasks of each priority leave is taken again
-// by what comes.
+// retaken estimates, for each priority, which part of the capacity freed by running tasks
+// is taken again by arriving work of that priority.
 func (a *Actor) retaken() (r placement.Retaken) {
 	var busy placement.Retaken
 	for _, j := range a.led.Order() {
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -8,13 +8,13 @@
 	"brooklb/internal/wire"
 )
 
-// mostListed bounds the machines of a list. A list that doesn't end would fill
-// the memory; nothing is concluded from one.
-const mostListed = 100_000
+// maxListed is how many machines a list may have. An endless list would fill the memory; no
+// machine counts as missing from it.
+const maxListed = 100_000
 
 func (a *Actor) list() {
 	a.listing = true
-	a.seen = map[string]bool{}
+	a.listedNames = map[string]bool{}
 	started := a.env.Now()
 	var page func(after string)
 	page = func(after string) {
@@ -30,19 +30,19 @@
 			}
 			ms, more, err := wire.DecodeMachines(ans.Body)
 			if err != nil || (more && len(ms) == 0) {
-				a.env.Log().Error("bad answer of the cloud", "err", err)
+				a.env.Log().Error("invalid response from the cloud", "err", err)
 				a.listing = false
 				a.listedAt = a.env.Now()
 				return
 			}
-			// A page has the next names, in any order.
+			// A page holds the next names, in any order.
 			last := after
 			for _, lm := range ms {
 				last = max(last, lm.Name)
-				a.listed(lm)
+				a.recordListed(lm)
 			}
-			if more && (last == after || len(a.seen) > mostListed) {
-				a.env.Log().Error("bad answer of the cloud: the list of machines doesn't end", "machines", len(a.seen), "after", last)
+			if more && (last == after || len(a.listedNames) > maxListed) {
+				a.env.Log().Error("invalid response from the cloud: the list of machines is endless", "machines", len(a.listedNames), "after", last)
 				a.listing = false
 				a.listedAt = a.env.Now()
 				return
@@ -52,9 +52,9 @@
 				return
 			}
 			a.listing = false
-			a.listOnce = true
+			a.hasList = true
 			a.listedAt = started
-			a.missing()
+			a.returnUnlisted()
 			if a.OnChange != nil {
 				a.OnChange()
 			}
@@ -69,10 +69,10 @@
 	page("")
 }
 
-func (a *Actor) listed(lm model.ListedMachine) {
-	a.seen[lm.Name] = true
+func (a *Actor) recordListed(lm model.ListedMachine) {
+	a.listedNames[lm.Name] = true
 	if a.led.Returned[lm.Name] {
-		return // the list lags
+		return // the list is older than the return
 	}
 	m := a.led.Machine(lm.Name)
 	if m.ListedState == "" && !m.Reported && m.Type == "" {
@@ -94,30 +94,30 @@
 	}
 }
 
-// unlistedFor is how long the newest machines may be absent from the list.
-const unlistedFor = 2 * time.Minute
+// unlistedGrace is how long the newest machines may be absent from the list.
+const unlistedGrace = 2 * time.Minute
 
-// missing looks for machines that the list doesn't show any more. A list may
-// be older than the last, so that only several together with a silent worker
-// count, and then returning the machine makes it certain.
+// returnUnlisted returns machines that the list no longer shows. A list may be older than
+// the one before it, so that a machine has to be absent from two lists and silent as well.
+// Its return then makes certain that it is gone.
 //
-// The order of names is that of creation: a list that shows a later machine is
-// newer than this one, which is gone then, however long ago it was rented. While
-// it shows none, the list lags, and by more than the settings say at times.
-func (a *Actor) missing() {
+// Machines are named in the order of their creation. A list with a later name is therefore
+// newer than a machine that is absent from it, and that machine is gone, whatever its age.
+// Without a later name the list may lag, at times by more than the settings say.
+func (a *Actor) returnUnlisted() {
 	now := a.env.Now()
 	newest := ""
-	for name := range a.seen {
+	for name := range a.listedNames {
 		newest = max(newest, name)
 	}
 	for _, m := range a.led.MachinesByName() {
-		if a.seen[m.Name] {
+		if a.listedNames[m.Name] {
 			continue
 		}
-		if m.ListedState == "" && m.Name > newest && now-m.FirstSeen < max(unlistedFor, 4*a.cfg.ListLag) {
+		if m.ListedState == "" && m.Name > newest && now-m.FirstSeen < max(unlistedGrace, 4*a.cfg.ListLag) {
 			continue
 		}
-		if m.Reported && now-m.LastReport < 2*a.cfg.Report+2*time.Second {
+		if m.Reported && now-m.LastReport < 2*a.cfg.ReportInterval+2*time.Second {
 			continue
 		}
 		m.MissedListings++
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -16,58 +16,59 @@
 	"brooklb/internal/wire"
 )
 
-// maxRent bounds what one pass asks for.
+// maxRent is how many machines one pass may request.
 const maxRent = 200
 
 const (
-	// A look at a machine for a job takes about so much of a whole core, and all of them
-	// in a pass, which comes once a second, this part of the share at most: with 1,500
-	// jobs waiting for 1,818 machines passes and renting used up a leader's processor
-	// for seconds, it was paused, and lost its lease (lumiar fleet, half as many machines
-	// again, a hundred times the submissions).
-	perLook  = 100 * time.Nanosecond
-	lookPart = 0.2
+	// checkCost is about how long a whole core takes to check one machine for one job.
+	checkCost = 100 * time.Nanosecond
+	// checkShare is the part of the process's CPU share that the checks of a pass, which
+	// runs once a second, may take. With 1,500 jobs waiting for 1,818 machines, placement
+	// and renting used up a leader's processor for seconds: its process was paused and
+	// lost its lease.
+	checkShare = 0.2
 )
 
-// mostLooked bounds how many machines are looked at for all jobs in a pass.
-func (a *Actor) mostLooked() int {
-	share := a.cfg.Share
+// maxChecks returns how many machines a pass may check, over all jobs.
+func (a *Actor) maxChecks() int {
+	share := a.cfg.CPUShare
 	if share <= 0 || share > 1 {
 		share = 1
 	}
-	return int(lookPart * share * float64(time.Second/perLook))
+	return int(checkShare * share * float64(time.Second/checkCost))
 }
 
-// maxTasks bounds how many tasks of one job a pass looks at.
-const maxTasks = 300
+// maxTasksPerJob is how many tasks of one job a pass considers.
+const maxTasksPerJob = 300
 
-// Rent projects when the jobs that could not be placed will start on what is
-// there and on its way. It rents where that is too late for an aim that a new
-// machine would still meet, or much later than a new machine would run it.
-func (a *Actor) Rent(left []*ledger.Job, v *placement.View, aims *placement.Objectives, claims placement.Claims) {
-	if len(a.led.Types) == 0 || !a.listOnce {
+// Rent projects when the unplaced jobs will start on the machines that are rented or
+// requested. It rents where a job would never start, where the start is too late for an
+// aim that a new machine would meet, or where it is later than the start on a new
+// machine by more than Config.WaitTolerance.
+func (a *Actor) Rent(unplaced []*ledger.Job, v *placement.View, aims *placement.Objectives, claims placement.Claims) {
+	if len(a.led.Types) == 0 || !a.hasList {
 		return
 	}
 	now := v.Now
 	byZone := map[string]int{}
 	use, units := map[string]model.Resources{}, map[*units.Resource]int{}
-	limit := a.mostLooked()
-	most := min(len(left), limit/max(1, len(v.Machines)))
-	wants := make([]int, most)
-	over := map[string]float64{}
-	for i, j := range left[:most] {
-		wants[i] = a.wanted(j, use)
+	limit := a.maxChecks()
+	jobLimit := min(len(unplaced), limit/max(1, len(v.Machines)))
+	wants := make([]int, jobLimit)
+	overLimit := map[string]float64{}
+	for i, j := range unplaced[:jobLimit] {
+		wants[i] = a.rentableTasks(j, use)
 		if n := j.Idle() - wants[i]; n > 0 {
-			over[j.Spec.Team] += a.machines(j.Spec, n) * j.EstimateS()
+			overLimit[j.Spec.Team] += a.machines(j.Spec, n) * j.EstimateS()
 		}
 	}
-	pr := placement.NewProjection(a.led, v, a.retaken(), a.queued(over))
-	ready, coming := 0, 0
+	pr := placement.NewProjection(a.led, v, a.retaken(), a.saturatedTeams(overLimit))
+	ready, booting := 0, 0
 	for _, m := range a.led.MachinesByName() {
 		byZone[m.Zone]++
 		if !m.Reported && !m.Leaving && m.TypeKnown && m.ListedState != "failed" {
-			pr.Add(&placement.ProjectedMachine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap}, a.upAt(m))
-			coming++
+			pr.Add(&placement.ProjectedMachine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Cap: m.Cap}, a.expectedUpAt(m))
+			booting++
 		}
 	}
 	for _, m := range v.Machines {
@@ -77,38 +78,39 @@
 	}
 	for p, n := range a.renting {
 		for i := 0; i < n; i++ {
-			a.addNew(pr, p)
-			coming++
+			a.addRental(pr, p)
+			booting++
 		}
 	}
 	need := map[pool]int{}
 	total := 0
-	order := func(j *ledger.Job, zone string) *placement.ProjectedMachine {
-		p, ok := a.choose(j, zone, byZone)
+	plan := func(j *ledger.Job, zone string) *placement.ProjectedMachine {
+		p, ok := a.choosePool(j, zone, byZone)
 		if !ok || total >= maxRent {
 			return nil
 		}
 		need[p]++
 		byZone[p.zone]++
 		total++
-		return a.addNew(pr, p)
+		return a.addRental(pr, p)
 	}
-	// A gang's first machines are idle until its last is up: they must not be
-	// returned meanwhile, or it never comes together.
-	wanted := func(s *placement.ProjectedMachine) {
+	// A gang's first machines are idle until its last one is up. They must not be
+	// returned in the meantime, or the gang never starts.
+	markWanted := func(s *placement.ProjectedMachine) {
 		if s.M != nil {
 			s.M.WantedAt = now
 		}
 	}
-	looked := 0
-	for i, j := range left[:most] {
-		// Each job looks at all machines: with thousands of them waiting a leader spent
-		// its processor on renting, and was paused for longer than its lease.
-		if looked += len(pr.Machines); total >= maxRent || looked > limit {
+	checks := 0
+	for i, j := range unplaced[:jobLimit] {
+		// All machines are checked for each job. Without a limit, and with thousands of
+		// jobs waiting, this used so much processor time that a leader's process was
+		// paused for longer than its lease.
+		if checks += len(pr.Machines); total >= maxRent || checks > limit {
 			break
 		}
 		n := a.led.AllotUnits(j, wants[i], units)
-		boot, fits := a.bootTime(j)
+		boot, fits := a.startDelay(j)
 		if j.Spec.Kind == model.Gang {
 			if n == 0 {
 				continue
@@ -126,7 +128,7 @@
 					sum = have[zone]
 				}
 				for ; sum < n; sum++ {
-					if order(j, zone) == nil {
+					if plan(j, zone) == nil {
 						break
 					}
 				}
@@ -134,7 +136,7 @@
 			}
 			if ok {
 				for _, s := range where {
-					wanted(s)
+					markWanted(s)
 				}
 				pr.BookGang(j, at, where)
 			}
@@ -144,22 +146,22 @@
 			continue
 		}
 		q := pr.MachineQueue(j)
-		for tasks := 0; n > 0 && tasks < maxTasks; tasks, n = tasks+1, n-1 {
+		for tasks := 0; n > 0 && tasks < maxTasksPerJob; tasks, n = tasks+1, n-1 {
 			at, ok := q.First()
 			if fits && total < maxRent && a.worthRenting(j, now, at, ok, now+boot, aims, claims[j] == placement.Entitled) {
-				if s := order(j, ""); s != nil {
+				if s := plan(j, ""); s != nil {
 					q.Add(s)
 				}
 			}
 			if _, ok = q.First(); !ok {
 				break
 			}
-			wanted(q.Book())
+			markWanted(q.Book())
 		}
 	}
-	// Headroom: idle machines that wait for work to come.
-	for head := a.headroom(); ready+coming+total < head; {
-		if order(nil, "") == nil {
+	// The headroom is idle machines kept for work that is yet to arrive.
+	for head := a.headroom(); ready+booting+total < head; {
+		if plan(nil, "") == nil {
 			break
 		}
 	}
@@ -169,22 +171,23 @@
 	}
 	sort.Slice(ps, func(i, j int) bool { return fmt.Sprint(ps[i]) < fmt.Sprint(ps[j]) })
 	for _, p := range ps {
-		for n := need[p]; n > 0; n -= mostRented {
-			a.rent(p, min(n, mostRented))
+		for n := need[p]; n > 0; n -= maxPerRequest {
+			a.rent(p, min(n, maxPerRequest))
 		}
 	}
 }
 
-func (a *Actor) addNew(pr *placement.Projection, p pool) *placement.ProjectedMachine {
+func (a *Actor) addRental(pr *placement.Projection, p pool) *placement.ProjectedMachine {
 	t := a.led.Types[p.typ]
 	if t == nil {
 		return nil
 	}
-	return pr.Add(&placement.ProjectedMachine{Type: p.typ, Zone: p.zone, Spot: p.spot, Cap: t.Cap}, a.env.Now()+a.boot(p.typ, p.zone))
+	return pr.Add(&placement.ProjectedMachine{Type: p.typ, Zone: p.zone, Spot: p.spot, Cap: t.Cap}, a.env.Now()+a.expectedBoot(p.typ, p.zone))
 }
 
-// wanted is how many tasks of the job want a machine and may have one.
-func (a *Actor) wanted(j *ledger.Job, use map[string]model.Resources) int {
+// rentableTasks returns for how many of the job's tasks machines may be rented within its
+// team's limit, and adds their needs to those in use.
+func (a *Actor) rentableTasks(j *ledger.Job, use map[string]model.Resources) int {
 	n := 0
 	for i := range j.Tasks {
 		if !j.Tasks[i].Done && !j.Tasks[i].Unwanted && j.Tasks[i].CurrentPlacement == nil && j.Tasks[i].NotBefore <= a.env.Now()+10*time.Second {
@@ -198,7 +201,7 @@
 	if team == nil {
 		return n
 	}
-	// Machines for tasks over the team's limit would stand idle.
+	// Machines for tasks beyond the team's limit would be idle.
 	for n > 0 {
 		t := *team
 		t.Used = t.Used.Add(use[j.Spec.Team]).Add(j.Spec.Resources.Times(float64(n - 1)))
@@ -215,8 +218,9 @@
 	return n
 }
 
-// bootTime is how long a new machine takes until it runs the job.
-func (a *Actor) bootTime(j *ledger.Job) (time.Duration, bool) {
+// startDelay returns how long a new machine takes until it runs the job: the shortest boot
+// and image fetch of all types and zones. It returns false if no type can run the job.
+func (a *Actor) startDelay(j *ledger.Job) (time.Duration, bool) {
 	best, ok := time.Duration(0), false
 	for _, t := range a.led.Types {
 		if !j.Spec.AllowsType(t.Name) || !j.Spec.Resources.Fits(t.Cap) {
@@ -230,7 +234,7 @@
 			if j.Spec.Zone != "" && j.Spec.Zone != z || j.Zone != "" && j.Zone != z {
 				continue
 			}
-			if d := a.boot(t.Name, z) + fetch; !ok || d < best {
+			if d := a.expectedBoot(t.Name, z) + fetch; !ok || d < best {
 				best, ok = d, true
 			}
 		}
@@ -238,23 +242,25 @@
 	return best, ok
 }
 
-func (a *Actor) worthRenting(j *ledger.Job, now, queued time.Duration, ok bool, fresh time.Duration, aims *placement.Objectives, within bool) bool {
+// worthRenting reports whether to rent a machine for a job that would run at onNew on a new
+// machine and at onExisting on the others; ok is false if it would never run on those.
+func (a *Actor) worthRenting(j *ledger.Job, now, onExisting time.Duration, ok bool, onNew time.Duration, aims *placement.Objectives, within bool) bool {
 	if !ok {
 		return true
 	}
-	if queued <= fresh {
+	if onExisting <= onNew {
 		return false
 	}
 	for _, t := range aims.StartBy(j, within) {
-		if queued > t && fresh <= t {
+		if onExisting > t && onNew <= t {
 			return true
 		}
 	}
-	return queued > fresh+a.cfg.Patience
+	return onExisting > onNew+a.cfg.WaitTolerance
 }
 
-// gangZone is the zone in which a gang is likeliest to come together: the one
-// with the most machines that could run it soon.
+// gangZone returns the zone in which to rent for a gang: the one with the most machines
+// that could run it soon, of several the one with the most machines.
 func (a *Actor) gangZone(j *ledger.Job, have map[string]int, byZone map[string]int) string {
 	var zs []string
 	for _, t := range a.led.Types {
@@ -267,17 +273,17 @@
 	sort.Strings(zs)
 	best := ""
 	for _, z := range zs {
-		if _, ok := a.choose(j, z, byZone); ok && (best == "" || have[z] > have[best] || have[z] == have[best] && byZone[z] > byZone[best]) {
+		if _, ok := a.choosePool(j, z, byZone); ok && (best == "" || have[z] > have[best] || have[z] == have[best] && byZone[z] > byZone[best]) {
 			best = z
 		}
 	}
 	return best
 }
 
-// choose picks where to rent a machine for a job (nil: for any).
-func (a *Actor) choose(j *ledger.Job, zone string, byZone map[string]int) (pool, bool) {
-	var top pool
-	var topCost float64
+// choosePool returns the cheapest pool in which to rent a machine for a job (nil: for any job).
+func (a *Actor) choosePool(j *ledger.Job, zone string, byZone map[string]int) (pool, bool) {
+	var best pool
+	var bestCost float64
 	found := false
 	now := a.env.Now()
 	var names []string
@@ -299,60 +305,60 @@
 					continue
 				}
 				p := pool{n, z, spot}
-				if a.refused[p] > now {
+				if a.refusedUntil[p] > now {
 					continue
 				}
 				cost := t.Price
 				if spot {
-					// Spot machines are lost now and then, with work on them.
+					// Spot machines are withdrawn at times, with work on them.
 					cost = t.SpotCost * 1.2
 				}
-				// Waiting for a slow boot is paid for, too.
-				if nominal := t.BootS * usualBoot; nominal > 0 {
-					if slow := a.boot(n, z).Seconds() / nominal; slow > 1 {
-						cost *= 1 + slowCost*(slow-1)
+				// The time of a slow boot is paid for, too.
+				if nominal := t.BootS * meanBootFactor; nominal > 0 {
+					if slow := a.expectedBoot(n, z).Seconds() / nominal; slow > 1 {
+						cost *= 1 + slowBootCost*(slow-1)
 					}
 				}
 				cost += 0.001 * float64(byZone[z])
-				if !found || cost < topCost {
-					top, topCost, found = p, cost, true
+				if !found || cost < bestCost {
+					best, bestCost, found = p, cost, true
 				}
 			}
 		}
 	}
-	return top, found
+	return best, found
 }
 
-// mostRented is how many machines one request may ask for.
-const mostRented = 50
+// maxPerRequest is how many machines one request may ask for.
+const maxPerRequest = 50
 
 func (a *Actor) rent(p pool, n int) {
-	a.charters++
-	charter := "r-" + strconv.FormatUint(a.cfg.Charter, 10) + "-" + strconv.Itoa(a.charters)
+	a.rentalCount++
+	requestID := "r-" + strconv.FormatUint(a.cfg.RentalID, 10) + "-" + strconv.Itoa(a.rentalCount)
 	a.renting[p] += n
-	a.ask(p, n, charter, 4)
+	a.requestRental(p, n, requestID, 4)
 }
 
-func (a *Actor) ask(p pool, n int, charter string, tries int) {
+func (a *Actor) requestRental(p pool, n int, requestID string, tries int) {
 	done := func() {
 		a.renting[p] -= n
 		if a.renting[p] <= 0 {
 			delete(a.renting, p)
 		}
 	}
-	if !a.call("POST", wire.PathMachines, wire.Rent(charter, p.typ, p.zone, p.spot, n), func(ans actor.Answer) {
+	if !a.call("POST", wire.PathMachines, wire.Rent(requestID, p.typ, p.zone, p.spot, n), func(ans actor.Answer) {
 		now := a.env.Now()
 		switch {
 		case ans.Err != nil:
 			if tries > 0 {
-				a.ask(p, n, charter, tries-1) // the same name: it can't be rented twice
+				a.requestRental(p, n, requestID, tries-1) // the request ID stays, so that nothing is rented twice
 				return
 			}
 			done()
 		case ans.Status == 200:
 			names, err := wire.DecodeRented(ans.Body)
 			if err != nil {
-				a.env.Log().Error("bad answer of the cloud", "err", err)
+				a.env.Log().Error("invalid response from the cloud", "err", err)
 			}
 			a.env.Log().Info("rented", "type", p.typ, "zone", p.zone, "spot", p.spot, "asked", n, "got", len(names))
 			for _, name := range names {
@@ -364,7 +370,7 @@
 				}
 			}
 			if len(names) < n {
-				a.refused[p] = now + 20*time.Second
+				a.refusedUntil[p] = now + 20*time.Second
 			}
 			done()
 			if a.OnChange != nil {
@@ -372,23 +378,23 @@
 			}
 		case ans.Status == 503 && strings.Contains(string(ans.Body), "capacity"):
 			a.env.Log().Debug("no capacity", "type", p.typ, "zone", p.zone, "spot", p.spot)
-			a.refused[p] = now + 20*time.Second
+			a.refusedUntil[p] = now + 20*time.Second
 			done()
 			if a.OnChange != nil {
 				a.OnChange()
 			}
 		case ans.Status == 400:
-			a.env.Log().Error("the cloud calls a rental malformed", "body", string(ans.Body))
-			a.refused[p] = now + time.Minute
+			a.env.Log().Error("the cloud rejected a rental as malformed", "body", string(ans.Body))
+			a.refusedUntil[p] = now + time.Minute
 			done()
 		default:
-			a.refused[p] = now + 2*time.Second
+			a.refusedUntil[p] = now + 2*time.Second
 			done()
 		}
 	}) {
 		a.env.After(200*time.Millisecond, func() {
 			if !a.stopped {
-				a.ask(p, n, charter, tries)
+				a.requestRental(p, n, requestID, tries)
 			}
 		})
 	}
--- a/internal/fleet/rent_test.go
+++ b/internal/fleet/rent_test.go
@@ -15,22 +15,22 @@
 	"brooklb/internal/statestore"
 )
 
-type still struct{ actor.Env }
+type fixedEnv struct{ actor.Env }
 
-func (still) Now() time.Duration { return time.Minute }
-func (still) Wall() time.Time    { return time.UnixMilli(60000) }
-func (still) Rand() *rand.Rand   { return rand.New(rand.NewPCG(1, 1)) }
-func (still) Log() *slog.Logger  { return slog.New(slog.DiscardHandler) }
-func (still) After(time.Duration, func()) *actor.Timer {
+func (fixedEnv) Now() time.Duration { return time.Minute }
+func (fixedEnv) Wall() time.Time    { return time.UnixMilli(60000) }
+func (fixedEnv) Rand() *rand.Rand   { return rand.New(rand.NewPCG(1, 1)) }
+func (fixedEnv) Log() *slog.Logger  { return slog.New(slog.DiscardHandler) }
+func (fixedEnv) After(time.Duration, func()) *actor.Timer {
 	return &actor.Timer{}
 }
 
-// TestRentIsBounded guards a leader from spending its processor on renting: with ten
-// times the jobs waiting on a fleet that can't grow, a pass does no more work, seen by
-// what it allocates.
+// TestRentIsBounded guards against a leader that spends its processor time on renting.
+// With ten times as many jobs waiting for a fleet that can't grow, a pass must do hardly
+// more work, as measured by its allocations.
 func TestRentIsBounded(t *testing.T) {
 	allocs := func(jobs int) float64 {
-		env := still{}
+		env := fixedEnv{}
 		store := statestore.New(env, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 8, ValueBytes: 4096})
 		l := ledger.New(env, store, 1, []settings.Team{{Name: "free"}})
 		l.Types["g"] = &model.MachineType{Name: "g", Cap: model.Resources{CPUs: 96, GPUs: 8, MemGB: 500}, Zones: []string{"x"}, BootS: 60}
@@ -50,9 +50,9 @@
 		for i := range jobs {
 			full(fmt.Sprint("j-", i+1), 5, 1)
 		}
-		a := New(env, l, store, 1, Config{Headroom: 0.5, Patience: time.Hour, RPS: 1})
-		a.listOnce = true
-		a.refused[pool{"g", "x", false}], a.refused[pool{"g", "x", true}] = time.Hour, time.Hour
+		a := New(env, l, store, 1, Config{Headroom: 0.5, WaitTolerance: time.Hour, RPS: 1})
+		a.hasList = true
+		a.refusedUntil[pool{"g", "x", false}], a.refusedUntil[pool{"g", "x", true}] = time.Hour, time.Hour
 		left := l.Order()[1:]
 		return testing.AllocsPerRun(1, func() { a.Rent(left, v, v.Objectives, placement.Claims{}) })
 	}
--- a/internal/fleet/return.go
+++ b/internal/fleet/return.go
@@ -9,25 +9,26 @@
 	"brooklb/internal/wire"
 )
 
-// Return gives a machine back. What is on it is gone when the cloud says so.
+// Return has a machine returned to the cloud. The tasks on it are over once the cloud has
+// confirmed the return.
 func (a *Actor) Return(m *ledger.Machine, why string) {
-	if _, ok := a.want[m.Name]; ok {
+	if _, ok := a.toReturn[m.Name]; ok {
 		return
 	}
 	a.env.Log().Info("returning machine", "machine", m.Name, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.Placements))
 	m.Leaving = true
-	a.want[m.Name] = a.env.Now()
+	a.toReturn[m.Name] = a.env.Now()
 }
 
 func (a *Actor) sendReturns() {
-	if a.returning || len(a.want) == 0 {
+	if a.returning || len(a.toReturn) == 0 {
 		return
 	}
 	var names []string
-	for n := range a.want {
+	for n := range a.toReturn {
 		m := a.led.Machines[n]
 		if m == nil {
-			delete(a.want, n)
+			delete(a.toReturn, n)
 			continue
 		}
 		names = append(names, n)
@@ -42,10 +43,10 @@
 	a.returning = a.call("POST", wire.PathReturn, wire.Return(names), func(ans actor.Answer) {
 		a.returning = false
 		if ans.Err != nil || ans.Status != 200 {
-			return // asked again with the next tick
+			return // the next tick sends it again
 		}
 		for _, n := range names {
-			delete(a.want, n)
+			delete(a.toReturn, n)
 			if m := a.led.Machines[n]; m != nil {
 				a.led.Remove(m, ledger.CauseReturned)
 			}
@@ -56,15 +57,15 @@
 	})
 }
 
-// watchMachines returns machines that are silent, never came up, or are idle
-// for longer than they are worth.
-func (a *Actor) watchMachines() {
+// checkMachines returns machines that are silent, never came up, or are not needed and
+// have been idle for too long.
+func (a *Actor) checkMachines() {
 	now := a.env.Now()
 	alive, total := map[string]int{}, map[string]int{}
 	for _, m := range a.led.MachinesByName() {
 		if m.Reported {
 			total[m.Zone]++
-			if now-m.LastReport < 2*a.cfg.Report {
+			if now-m.LastReport < 2*a.cfg.ReportInterval {
 				alive[m.Zone]++
 			}
 		}
@@ -74,11 +75,11 @@
 			a.led.SpotHours += 1.0 / 3600 // called once a second
 		}
 	}
-	fence := max(10*time.Second, 7*a.cfg.Report/2)
+	maxSilence := max(10*time.Second, 7*a.cfg.ReportInterval/2)
 	idle := 0
 	for _, m := range a.led.MachinesByName() {
 		if m.Leaving {
-			if _, ok := a.want[m.Name]; !ok && len(m.Placements) == 0 {
+			if _, ok := a.toReturn[m.Name]; !ok && len(m.Placements) == 0 {
 				a.Return(m, "set aside")
 			}
 			continue
@@ -86,19 +87,19 @@
 		switch {
 		case m.Reported:
 			silent := now - max(m.LastReport, a.began+5*time.Second)
-			// A hung machine may resume; its tasks wait meanwhile. Returning it
-			// frees them for a start elsewhere. A whole silent zone is a cut,
-			// and its machines go on working.
-			if silent > fence && 2*alive[m.Zone] >= total[m.Zone] && alive[m.Zone] > 0 && (len(m.Placements) > 0 || silent > 2*fence) {
+			// A hung machine may resume, and its tasks wait until then. They can start
+			// elsewhere once it is returned. A zone of which most is silent is taken
+			// to be partitioned from us, with machines that go on working.
+			if silent > maxSilence && 2*alive[m.Zone] >= total[m.Zone] && alive[m.Zone] > 0 && (len(m.Placements) > 0 || silent > 2*maxSilence) {
 				a.Return(m, "silent")
 				continue
 			}
 			if len(m.Placements) == 0 {
 				idle++
 			}
-		case m.TypeKnown && now-max(a.began, m.RentedAt) > a.patience(m) && now-a.resumed > a.cfg.IdleKeep:
+		case m.TypeKnown && now-max(a.began, m.RentedAt) > a.bootTimeout(m) && now-a.resumedAt > a.cfg.IdleTimeout:
 			if len(m.Placements) == 0 || alive[m.Zone] > 0 {
-				a.boots.gaveUp(m, now)
+				a.boots.recordAbandoned(m, now)
 				a.Return(m, "never came up")
 			}
 		}
@@ -106,16 +107,17 @@
 	a.returnIdle(idle)
 }
 
-func (a *Actor) patience(m *ledger.Machine) time.Duration {
+// bootTimeout returns how long a machine may take to come up before it is returned.
+func (a *Actor) bootTimeout(m *ledger.Machine) time.Duration {
 	if m.ListedState == "running" {
 		return 40 * time.Second
 	}
 	if t := a.led.Types[m.Type]; t != nil {
-		// Where boots as a whole are slow, the next one would be no sooner.
-		// But not for ever: those that never come make boots look the slower the
+		// Where all boots are slow, a replacement would come up no sooner. The time is
+		// limited, since machines that never come up make boots look the slower the
 		// longer they are waited for.
 		nominal := time.Duration(t.BootS * float64(time.Second))
-		return lateBoot*min(max(nominal, a.boot(m.Type, m.Zone)), mostBoots*nominal) + 10*time.Second
+		return abandonFactor*min(max(nominal, a.expectedBoot(m.Type, m.Zone)), maxBootFactor*nominal) + 10*time.Second
 	}
 	return 5 * time.Minute
 }
@@ -124,7 +126,7 @@
 	now := a.env.Now()
 	var ms []*ledger.Machine
 	for _, m := range a.led.MachinesByName() {
-		if m.Reported && !m.Leaving && len(m.Placements) == 0 && now-max(m.IdleSince, m.WantedAt, a.began, a.resumed) > a.cfg.IdleKeep && !a.led.HasUnwrittenResults(m) {
+		if m.Reported && !m.Leaving && len(m.Placements) == 0 && now-max(m.IdleSince, m.WantedAt, a.began, a.resumedAt) > a.cfg.IdleTimeout && !a.led.HasUnwrittenResults(m) {
 			ms = append(ms, m)
 		}
 	}
@@ -132,7 +134,7 @@
 		return
 	}
 	keep := a.headroom()
-	// The dear ones go first, then those with the fewest images.
+	// The more expensive machines, which are not spot, go first, then those with the fewest images.
 	sort.Slice(ms, func(i, j int) bool {
 		x, y := ms[i], ms[j]
 		if x.Spot != y.Spot {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// env keeps the calls that were made, for the test to answer.
+// env records calls, which the test answers.
 type env struct {
 	now    time.Duration
 	timers actor.Timers
@@ -31,13 +31,13 @@
 	return e.timers.Add(e.now+d, f)
 }
 
-func (e *env) pass(d time.Duration) {
+func (e *env) advance(d time.Duration) {
 	e.now += d
 	e.timers.Run(e.now)
 }
 
-// take is the oldest call that has no answer.
-func (e *env) take(t *testing.T, path string) actor.Call {
+// takeCall returns the oldest call that has not been answered.
+func (e *env) takeCall(t *testing.T, path string) actor.Call {
 	t.Helper()
 	if len(e.calls) == 0 || e.calls[0].Path != path {
 		t.Fatalf("no call of %s: %+v", path, e.calls)
@@ -52,8 +52,8 @@
 	noAnswer = actor.Answer{Err: actor.ErrNoAnswer}
 )
 
-// node is a forwarder with what its workers were answered.
-type node struct {
+// testNode is a forwarder and the answers that its workers received.
+type testNode struct {
 	*Forwarder
 	env     *env
 	leader  string
@@ -61,14 +61,14 @@
 	refused []string
 }
 
-func newNode() *node {
-	n := &node{env: &env{now: time.Minute}, leader: "leader", answers: map[string]httpx.Response{}}
+func newTestNode() *testNode {
+	n := &testNode{env: &env{now: time.Minute}, leader: "leader", answers: map[string]httpx.Response{}}
 	n.Forwarder = NewForwarder(n.env, "n1", func() string { return n.leader })
-	n.Refused = func(body []byte) { n.refused = append(n.refused, string(body)) }
+	n.OnRefused = func(body []byte) { n.refused = append(n.refused, string(body)) }
 	return n
 }
 
-func (n *node) report(t *testing.T, body string) {
+func (n *testNode) report(t *testing.T, body string) {
 	t.Helper()
 	n.Report([]byte(body), func(r httpx.Response) {
 		if _, twice := n.answers[body]; twice {
@@ -78,16 +78,16 @@
 	})
 }
 
-// answerAll answers all that is passed on, as it comes.
-func (n *node) answerAll(t *testing.T) {
+// answerAll answers all reports that are passed on.
+func (n *testNode) answerAll(t *testing.T) {
 	t.Helper()
 	for len(n.env.calls) > 0 {
-		answer(t, n.env.take(t, ReportsPath))
-		n.env.pass(gatherFor)
+		answer(t, n.env.takeCall(t, ReportsPath))
+		n.env.advance(batchInterval)
 	}
 }
 
-// batch reads a call to the leader.
+// batch decodes the body of a call to the leader.
 func batch(t *testing.T, c actor.Call) *Batch {
 	t.Helper()
 	b, err := DecodeBatch(c.Body)
@@ -97,7 +97,7 @@
 	return b
 }
 
-// answer answers the reports of a call, each with its own text.
+// answer answers the reports of a call, each with a text of its own.
 func answer(t *testing.T, c actor.Call) {
 	t.Helper()
 	var answers []Answer
@@ -108,22 +108,22 @@
 	c.Done(actor.Answer{Status: 200, Body: EncodeAnswers(true, answers)})
 }
 
-// TestReports passes reports on in batches and gives each worker the leader's answer to its
-// own report.
+// TestReports checks that reports are passed on in batches and that each worker gets the
+// leader's answer to its own report.
 func TestReports(t *testing.T) {
-	n := newNode()
+	n := newTestNode()
 	for _, r := range []string{"a", "b", "c"} {
 		n.report(t, r)
 	}
 	if len(n.env.calls) != 1 {
-		t.Fatalf("%d messages, want one that the others wait for", len(n.env.calls))
+		t.Fatalf("%d messages, want one, with the other reports queued", len(n.env.calls))
 	}
 	for _, r := range []string{"d", "e", "f", "g"} {
-		n.env.pass(gatherFor)
+		n.env.advance(batchInterval)
 		n.report(t, r)
 	}
-	if len(n.env.calls) != mostFlying || len(batch(t, n.env.calls[1]).Reports) != 2 {
-		t.Fatalf("%d messages are under way, want %d, the second with two reports", len(n.env.calls), mostFlying)
+	if len(n.env.calls) != maxBatchesInFlight || len(batch(t, n.env.calls[1]).Reports) != 2 {
+		t.Fatalf("%d messages are under way, want %d, the second with two reports", len(n.env.calls), maxBatchesInFlight)
 	}
 	n.answerAll(t)
 	for _, r := range []string{"a", "b", "c", "d", "e", "f", "g"} {
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestNothingIsPassedOnTwice: what may have reached a leader is refused; what surely has
-// not is sent again.
+// TestNothingIsPassedOnTwice checks that reports that may have reached a leader are refused,
+// and that those that certainly have not are sent again.
 func TestNothingIsPassedOnTwice(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -145,19 +145,19 @@
 		{"not leading", actor.Answer{Status: 200, Body: EncodeAnswers(false, nil)}, true},
 		{"an older program", actor.Answer{Status: 404}, true},
 		{"no answer", noAnswer, false},
-		{"an answer without sense", actor.Answer{Status: 200, Body: []byte("x")}, false},
+		{"an invalid answer", actor.Answer{Status: 200, Body: []byte("x")}, false},
 		{"no answer to this report", actor.Answer{Status: 200, Body: EncodeAnswers(true, []Answer{{ID: 7, Status: 200}})}, false},
 	} {
-		n := newNode()
+		n := newTestNode()
 		n.report(t, "a")
-		n.env.take(t, ReportsPath).Done(c.with)
-		n.env.pass(retryPause)
+		n.env.takeCall(t, ReportsPath).Done(c.with)
+		n.env.advance(retryDelay)
 		if again := len(n.env.calls) == 1; again != c.again {
 			t.Errorf("%s: sent again %v", c.name, again)
 			continue
 		}
 		if c.again {
-			answer(t, n.env.take(t, ReportsPath))
+			answer(t, n.env.takeCall(t, ReportsPath))
 		}
 		if got := n.answers["a"].Status; c.again && got != 200 || !c.again && (got != 503 || len(n.refused) != 1) {
 			t.Errorf("%s: got %d, refused %v", c.name, got, n.refused)
@@ -165,132 +165,134 @@
 	}
 }
 
-// TestNoLeader holds reports for the next leader, for less time than a worker waits.
+// TestNoLeader checks that reports are queued for the next leader, for less time than a worker
+// waits.
 func TestNoLeader(t *testing.T) {
-	n := newNode()
+	n := newTestNode()
 	n.leader = ""
 	n.report(t, "early")
-	n.env.pass(2 * time.Second)
+	n.env.advance(2 * time.Second)
 	n.report(t, "late")
-	n.env.pass(reportWait - 2*time.Second)
+	n.env.advance(reportTimeout - 2*time.Second)
 	if n.answers["early"].Status != 503 || len(n.answers) != 1 {
 		t.Errorf("answers %v", n.answers)
 	}
 	n.leader = "next"
-	n.env.pass(retryPause)
-	c := n.env.take(t, ReportsPath)
+	n.env.advance(retryDelay)
+	c := n.env.takeCall(t, ReportsPath)
 	if answer(t, c); c.Addr != "next" || n.answers["late"].Status != 200 {
 		t.Errorf("to %s, answers %v", c.Addr, n.answers)
 	}
-	if reportWait >= 4*time.Second {
+	if reportTimeout >= 4*time.Second {
 		t.Error("a worker gives up sooner")
 	}
 }
 
-// TestLeadsItself has a node that was elected answer what waits.
+// TestLeadsItself checks that a newly elected node answers the queued reports itself.
 func TestLeadsItself(t *testing.T) {
-	n := newNode()
+	n := newTestNode()
 	n.leader = ""
 	n.report(t, "a")
 	n.Drain(func(body []byte, reply func(httpx.Response)) { reply(httpx.Response{Status: 200, Body: body}) })
-	n.env.pass(time.Minute)
+	n.env.advance(time.Minute)
 	if n.answers["a"].Status != 200 || len(n.env.calls) > 0 {
 		t.Errorf("answers %v, %d calls", n.answers, len(n.env.calls))
 	}
 }
 
-// TestPause gives up what was under way: answers and results from before a pause of the
-// process go nowhere.
+// TestPause checks that answers and results of messages sent before a pause of the process
+// are ignored.
 func TestPause(t *testing.T) {
-	n := newNode()
+	n := newTestNode()
 	for _, r := range []string{"a", "b", "c", "d", "queued"} {
 		n.report(t, r)
-		n.env.pass(gatherFor)
+		n.env.advance(batchInterval)
 	}
-	if err := n.Orders(encode(Orders{Version, []Order{{1, "w", "/orders", nil}}})); err != nil {
+	if err := n.HandleOrders(encode(Orders{Version, []Order{{1, "w", "/orders", nil}}})); err != nil {
 		t.Fatal(err)
 	}
 	calls := n.env.calls
 	n.env.calls = nil
-	n.Paused()
+	n.AbortPending()
 	if n.answers["queued"].Status != 503 {
-		t.Error("what was queued waits still")
+		t.Error("a queued report was not refused")
 	}
-	for _, c := range calls[:mostFlying] {
+	for _, c := range calls[:maxBatchesInFlight] {
 		answer(t, c)
 	}
-	calls[mostFlying].Done(actor.Answer{Status: 200})
-	n.env.pass(time.Second)
+	calls[maxBatchesInFlight].Done(actor.Answer{Status: 200})
+	n.env.advance(time.Second)
 	if n.answers["a"].Status != 503 || len(n.env.calls) > 0 {
 		t.Errorf("answers %v, %d calls", n.answers, len(n.env.calls))
 	}
 	n.report(t, "new")
-	n.env.pass(gatherFor)
+	n.env.advance(batchInterval)
 	if n.answerAll(t); n.answers["new"].Status != 200 {
-		t.Error("nothing is passed on any more")
+		t.Error("a report after the pause was not passed on")
 	}
 }
 
-// TestSizes keeps messages within a request's limit and what waits within a bound.
+// TestSizes checks that messages stay within the limit of a request, and the queue within its
+// own.
 func TestSizes(t *testing.T) {
-	n := newNode()
-	big := strings.Repeat("x", MostReport-100)
-	for i := range mostFlying + 3 {
+	n := newTestNode()
+	big := strings.Repeat("x", MaxReportBytes-100)
+	for i := range maxBatchesInFlight + 3 {
 		n.report(t, string(rune('a'+i))+big)
 	}
 	n.answerAll(t)
-	if len(n.answers) != mostFlying+3 {
+	if len(n.answers) != maxBatchesInFlight+3 {
 		t.Errorf("%d reports were answered", len(n.answers))
 	}
 	n.leader = ""
-	for i := range mostWaiting/MostReport + 10 {
+	for i := range maxQueuedBytes/MaxReportBytes + 10 {
 		n.report(t, string(rune(1000+i))+big)
 	}
-	if n.bytes > mostWaiting {
-		t.Errorf("%d bytes wait", n.bytes)
+	if n.queuedBytes > maxQueuedBytes {
+		t.Errorf("%d bytes are queued", n.queuedBytes)
 	}
 }
 
-// TestOrders sends a leader's orders and tells what came of them, whoever leads by then.
+// TestOrders checks that a leader's orders are sent, and their results passed on.
 func TestOrders(t *testing.T) {
-	n := newNode()
-	err := n.Orders(encode(Orders{Version, []Order{{1, "w1", "/orders", []byte("x")}, {2, "w2", "/orders", nil}, {3, "w3", "/orders", nil}}}))
+	n := newTestNode()
+	err := n.HandleOrders(encode(Orders{Version, []Order{{1, "w1", "/orders", []byte("x")}, {2, "w2", "/orders", nil}, {3, "w3", "/orders", nil}}}))
 	if err != nil || len(n.env.calls) != 3 {
 		t.Fatalf("%v, %d calls", err, len(n.env.calls))
 	}
-	n.env.take(t, "/orders").Done(actor.Answer{Status: 409, Body: []byte("state")})
-	n.env.take(t, "/orders").Done(unsent)
-	n.env.take(t, "/orders").Done(noAnswer)
+	n.env.takeCall(t, "/orders").Done(actor.Answer{Status: 409, Body: []byte("state")})
+	n.env.takeCall(t, "/orders").Done(unsent)
+	n.env.takeCall(t, "/orders").Done(noAnswer)
 	var got []Result
 	for len(n.env.calls) > 0 {
-		got = append(got, batch(t, n.env.take(t, ReportsPath)).Results...)
-		n.env.pass(gatherFor)
+		got = append(got, batch(t, n.env.takeCall(t, ReportsPath)).Results...)
+		n.env.advance(batchInterval)
 	}
 	if len(got) != 3 || got[0].Outcome != Answered || got[0].Status != 409 || string(got[0].Body) != "state" || got[1].Outcome != NotSent || got[2].Outcome != NoAnswer {
 		t.Errorf("%+v", got)
 	}
-	if n.Orders([]byte("x")) == nil || n.Orders(encode(Orders{})) == nil {
-		t.Error("orders without sense were taken")
+	if n.HandleOrders([]byte("x")) == nil || n.HandleOrders(encode(Orders{})) == nil {
+		t.Error("invalid orders were accepted")
 	}
 }
 
-// leaderSide is a sender with what came of its calls.
-type leaderSide struct {
+// testSender is a sender and the outcomes of its calls.
+type testSender struct {
 	*Sender
-	env *env
-	got []actor.Answer
+	env      *env
+	outcomes []actor.Answer
 }
 
-func newLeaderSide() *leaderSide {
+func newTestSender() *testSender {
 	e := &env{now: time.Minute}
-	return &leaderSide{Sender: NewSender(e, 7), env: e}
+	return &testSender{Sender: NewSender(e, 7), env: e}
 }
 
-func (l *leaderSide) order(addr string) {
-	l.Send("n1", actor.Call{Addr: addr, Method: "POST", Path: "/orders", Done: func(a actor.Answer) { l.got = append(l.got, a) }})
+func (l *testSender) order(addr string) {
+	l.Send("n1", actor.Call{Addr: addr, Method: "POST", Path: "/orders", Done: func(a actor.Answer) { l.outcomes = append(l.outcomes, a) }})
 }
 
-// ids reads the orders of a call.
+// ids returns the IDs of the orders in a call.
 func ids(t *testing.T, c actor.Call) []uint64 {
 	t.Helper()
 	var m Orders
@@ -304,100 +306,100 @@
 	return out
 }
 
-// TestSender sends what is ordered in one turn together, and tells each caller once what
-// came of it.
+// TestSender checks that orders of one turn are sent together, and that each caller gets its
+// outcome once.
 func TestSender(t *testing.T) {
-	l := newLeaderSide()
+	l := newTestSender()
 	l.order("w1")
 	l.order("w2")
 	l.order("w3")
-	l.env.pass(0)
-	c := l.env.take(t, OrdersPath)
+	l.env.advance(0)
+	c := l.env.takeCall(t, OrdersPath)
 	id := ids(t, c)
 	if len(id) != 3 || len(l.env.calls) > 0 {
 		t.Fatalf("%d orders, %d more calls", len(id), len(l.env.calls))
 	}
 	c.Done(actor.Answer{Status: 200})
-	l.Results([]Result{{ID: id[0], Outcome: Answered, Status: 200, Body: []byte("r")}, {ID: id[1], Outcome: NotSent}, {ID: 12345, Outcome: Answered, Status: 200}})
-	l.Results([]Result{{ID: id[0], Outcome: NoAnswer}})
-	if len(l.got) != 2 || l.got[0].Status != 200 || string(l.got[0].Body) != "r" || !l.got[1].Unsent() {
-		t.Fatalf("%+v", l.got)
+	l.HandleResults([]Result{{ID: id[0], Outcome: Answered, Status: 200, Body: []byte("r")}, {ID: id[1], Outcome: NotSent}, {ID: 12345, Outcome: Answered, Status: 200}})
+	l.HandleResults([]Result{{ID: id[0], Outcome: NoAnswer}})
+	if len(l.outcomes) != 2 || l.outcomes[0].Status != 200 || string(l.outcomes[0].Body) != "r" || !l.outcomes[1].Unsent() {
+		t.Fatalf("%+v", l.outcomes)
 	}
-	l.env.pass(resultWait)
-	if len(l.got) != 3 || !errors.Is(l.got[2].Err, actor.ErrNoAnswer) || l.got[2].Unsent() {
-		t.Errorf("%+v", l.got)
+	l.env.advance(resultTimeout)
+	if len(l.outcomes) != 3 || !errors.Is(l.outcomes[2].Err, actor.ErrNoAnswer) || l.outcomes[2].Unsent() {
+		t.Errorf("%+v", l.outcomes)
 	}
-	l.Results([]Result{{ID: id[2], Outcome: Answered, Status: 200}})
-	if len(l.got) != 3 || len(l.pending) > 0 {
-		t.Errorf("a late result was taken, %d are pending", len(l.pending))
+	l.HandleResults([]Result{{ID: id[2], Outcome: Answered, Status: 200}})
+	if len(l.outcomes) != 3 || len(l.pending) > 0 {
+		t.Errorf("a late result was accepted, or %d orders are still pending", len(l.pending))
 	}
 }
 
-// TestControllerThatIsGone sends orders straight to the workers if the controller has
-// surely not seen them, and only then.
+// TestControllerThatIsGone checks that orders are sent directly to the workers if the
+// controller has certainly not received them, and only then.
 func TestControllerThatIsGone(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		with     actor.Answer
-		straight bool
+		name   string
+		with   actor.Answer
+		direct bool
 	}{{"no connection", unsent, true}, {"an older program", actor.Answer{Status: 404}, true}, {"no answer", noAnswer, false}, {"accepted", actor.Answer{Status: 200}, false}} {
-		l := newLeaderSide()
+		l := newTestSender()
 		l.order("w1")
-		l.env.pass(0)
-		l.env.take(t, OrdersPath).Done(c.with)
-		if straight := len(l.env.calls) == 1 && l.env.calls[0].Addr == "w1"; straight != c.straight {
-			t.Errorf("%s: straight to the worker %v", c.name, straight)
+		l.env.advance(0)
+		l.env.takeCall(t, OrdersPath).Done(c.with)
+		if direct := len(l.env.calls) == 1 && l.env.calls[0].Addr == "w1"; direct != c.direct {
+			t.Errorf("%s: sent directly to the worker %v", c.name, direct)
 		}
-		l.env.pass(resultWait)
-		if want := map[bool]int{true: 0, false: 1}[c.straight]; len(l.got) != want {
-			t.Errorf("%s: %d outcomes", c.name, len(l.got))
+		l.env.advance(resultTimeout)
+		if want := map[bool]int{true: 0, false: 1}[c.direct]; len(l.outcomes) != want {
+			t.Errorf("%s: %d outcomes", c.name, len(l.outcomes))
 		}
 	}
-	l := newLeaderSide()
+	l := newTestSender()
 	l.order("w1")
 	l.Close()
-	l.env.pass(time.Second)
+	l.env.advance(time.Second)
 	if len(l.env.calls) > 0 {
 		t.Error("an order was sent after the term had ended")
 	}
 }
 
-// TestChoose keeps shares equal and prefers the worker's zone.
+// TestChoose checks that workers are divided equally, with preference for their zones.
 func TestChoose(t *testing.T) {
-	all := []Reporter{{"n0", "a", 90}, {"n1", "b", 0}, {"n2", "c", 0}}
+	all := []Receiver{{"n0", "a", 90}, {"n1", "b", 0}, {"n2", "c", 0}}
 	for zone, want := range map[string]string{"a": "n1", "b": "n1", "c": "n2", "d": "n1"} {
-		if got := Choose(all, zone); got != want {
+		if got := ChooseReceiver(all, zone); got != want {
 			t.Errorf("zone %s: %s, want %s", zone, got, want)
 		}
 	}
-	if got := Choose([]Reporter{{"n0", "a", 30}, {"n1", "b", 30}}, "a"); got != "" {
-		t.Errorf("%s, though all have their share", got)
+	if got := ChooseReceiver([]Receiver{{"n0", "a", 30}, {"n1", "b", 30}}, "a"); got != "" {
+		t.Errorf("%s, although no controller has less than its share", got)
 	}
-	if !Full(90, all) || Full(30, all) {
-		t.Error("a controller with three times its share isn't full, or one with its share is")
+	if !Overloaded(90, all) || Overloaded(30, all) {
+		t.Error("a controller with three times its share isn't overloaded, or one with its share is")
 	}
-	r := NewRecent(time.Minute)
+	r := NewRecentSet(time.Minute)
 	r.Add("x", 0)
 	r.Add("y", 50*time.Second)
 	if n := r.Count(61 * time.Second); n != 1 || r.Has("x") || !r.Has("y") {
-		t.Errorf("%d were heard lately", n)
+		t.Errorf("%d names are in the set", n)
 	}
 }
 
-// FuzzMessages feeds what controllers send each other.
+// FuzzMessages decodes arbitrary messages between controllers.
 func FuzzMessages(f *testing.F) {
 	for _, v := range []any{Batch{1, "n1", []Report{{1, []byte("x")}}, []Result{{1, Answered, 200, nil}}}, Answers{1, true, []Answer{{1, 200, 0, nil}}}, Orders{1, []Order{{1, "a", "/orders", nil}}}} {
 		f.Add(encode(v))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, l := newNode(), newLeaderSide()
-		_ = n.Orders(b)
+		n, l := newTestNode(), newTestSender()
+		_ = n.HandleOrders(b)
 		if m, err := DecodeBatch(b); err == nil {
-			l.Results(m.Results)
+			l.HandleResults(m.Results)
 		}
 		n.env.calls = nil
 		n.report(t, "a")
-		n.env.take(t, ReportsPath).Done(actor.Answer{Status: 200, Body: b})
+		n.env.takeCall(t, ReportsPath).Done(actor.Answer{Status: 200, Body: b})
 		if s := n.answers["a"].Status; s != 0 && (s < 200 || s > 599) {
 			t.Errorf("a worker got %d", s)
 		}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -9,49 +9,50 @@
 )
 
 const (
-	// A worker waits 4 s for the answer to its report. What has not been passed on for
-	// want of a leader by then is refused: the worker tries elsewhere.
-	reportWait = 3400 * time.Millisecond
-	// One message is waited for this long.
+	// reportTimeout is how long a report is queued while there is no leader. It is refused
+	// then, so that the worker, which waits 4 s for the answer, tries another controller.
+	reportTimeout = 3400 * time.Millisecond
+	// batchTimeout is how long the answer to a message is waited for.
 	batchTimeout = 1500 * time.Millisecond
 	// orderTimeout is how long a worker's answer to an order is waited for.
 	orderTimeout = 2500 * time.Millisecond
-	// A message follows the one before after this long at the earliest, so that what comes
-	// meanwhile goes together: the leader has a message for some reports, not for each.
-	gatherFor = 25 * time.Millisecond
-	// retryPause is how long after a message that reached no leader the next is sent.
-	retryPause = 100 * time.Millisecond
-	// mostWaiting bounds the bytes of reports that wait.
-	mostWaiting = 8 << 20
+	// batchInterval is the shortest time between two messages. Reports that arrive in the
+	// meantime share one, so that the leader doesn't receive a message for each report.
+	batchInterval = 25 * time.Millisecond
+	// retryDelay is how long after a message that reached no leader the next one is sent.
+	retryDelay = 100 * time.Millisecond
+	// maxQueuedBytes limits the total size of queued reports.
+	maxQueuedBytes = 8 << 20
 )
 
 // Forwarder passes workers' reports on to the leader and the leader's orders to workers.
 type Forwarder struct {
 	env   actor.Env
 	label string
-	// leader is the address of the leader for other controllers, "" if it isn't known.
-	leader  func() string
-	queue   []*waiting
-	bytes   int // of reports in the queue
-	results []Result
-	flying  int
-	nextID  uint64
-	paused  bool
-	// gen counts the pauses: what was under way before one is given up.
-	gen int
-	// Refused hears of reports that could not be passed on.
-	Refused func(body []byte)
-}
-
-// waiting is a report whose worker waits for the answer.
-type waiting struct {
-	id    uint64
-	body  []byte
-	until time.Duration
-	reply func(httpx.Response)
-}
-
-// NewForwarder makes the forwarder of a node.
+	// leader returns the leader's address for other controllers, "" if it isn't known.
+	leader      func() string
+	queue       []*pendingReport
+	queuedBytes int // of reports in the queue
+	results     []Result
+	inFlight    int
+	nextID      uint64
+	sendDelayed bool
+	// generation counts the pauses of the process. Messages sent before the last one are
+	// given up.
+	generation int
+	// OnRefused is called with each report that could not be passed on.
+	OnRefused func(body []byte)
+}
+
+// pendingReport is a report whose worker waits for the answer.
+type pendingReport struct {
+	id       uint64
+	body     []byte
+	deadline time.Duration
+	reply    func(httpx.Response)
+}
+
+// NewForwarder creates the forwarder of a node.
 func NewForwarder(env actor.Env, label string, leader func() string) *Forwarder {
 	return &Forwarder{env: env, label: label, leader: leader}
 }
@@ -61,132 +62,133 @@
 // Report passes a worker's report on; reply is called once, with the leader's answer or a
 // refusal.
 func (f *Forwarder) Report(body []byte, reply func(httpx.Response)) {
-	if f.bytes+len(body) > mostWaiting {
+	if f.queuedBytes+len(body) > maxQueuedBytes {
 		reply(refusal)
 		return
 	}
 	f.nextID++
-	// The body is the connection's until the reply.
-	w := &waiting{f.nextID, append([]byte(nil), body...), f.env.Now() + reportWait, reply}
-	f.push(w)
-	f.pump()
+	// The body of the request is valid only until its handler returns.
+	w := &pendingReport{f.nextID, append([]byte(nil), body...), f.env.Now() + reportTimeout, reply}
+	f.enqueue(w)
+	f.trySend()
 }
 
-func (f *Forwarder) push(w *waiting) {
+func (f *Forwarder) enqueue(w *pendingReport) {
 	f.queue = append(f.queue, w)
-	f.bytes += len(w.body)
+	f.queuedBytes += len(w.body)
 }
 
-func (f *Forwarder) refuse(w *waiting) {
-	if f.Refused != nil {
-		f.Refused(w.body)
+func (f *Forwarder) refuse(w *pendingReport) {
+	if f.OnRefused != nil {
+		f.OnRefused(w.body)
 	}
 	w.reply(refusal)
 }
 
-// Paused hears that the process was paused: the workers wait no more for what is queued.
-func (f *Forwarder) Paused() {
-	f.gen++
-	f.flying = 0
+// AbortPending gives up what is queued or under way after a pause of the process, since the
+// workers no longer wait for it.
+func (f *Forwarder) AbortPending() {
+	f.generation++
+	f.inFlight = 0
 	f.results = nil
-	for _, w := range f.take() {
+	for _, w := range f.takeQueue() {
 		w.reply(refusal)
 	}
 }
 
-// take takes all reports out of the queue.
-func (f *Forwarder) take() []*waiting {
+// takeQueue empties the queue and returns its reports.
+func (f *Forwarder) takeQueue() []*pendingReport {
 	q := f.queue
-	f.queue, f.bytes = nil, 0
+	f.queue, f.queuedBytes = nil, 0
 	return q
 }
 
-// Drain has a node that leads now itself answer what waits.
+// Drain has all queued reports answered by the node itself, which leads now.
 func (f *Forwarder) Drain(answer func(body []byte, reply func(httpx.Response))) {
-	for _, w := range f.take() {
+	for _, w := range f.takeQueue() {
 		answer(w.body, w.reply)
 	}
 }
 
-// pump sends what waits, as long as not too many messages are under way. While some are,
-// more gathers: the busier the leader, the larger the batches.
-func (f *Forwarder) pump() {
-	f.expire()
-	if f.flying >= mostFlying || f.paused || len(f.queue)+len(f.results) == 0 {
+// trySend sends what is queued, unless too many messages are under way. In that case the
+// queue grows, so that a busy leader receives larger batches.
+func (f *Forwarder) trySend() {
+	f.refuseExpired()
+	if f.inFlight >= maxBatchesInFlight || f.sendDelayed || len(f.queue)+len(f.results) == 0 {
 		return
 	}
 	addr := f.leader()
 	if addr == "" {
-		f.pause(retryPause)
+		f.delaySending(retryDelay)
 		return
 	}
-	f.send(addr)
-	f.pause(gatherFor)
+	f.sendBatch(addr)
+	f.delaySending(batchInterval)
 }
 
-// pause sends nothing for a while.
-func (f *Forwarder) pause(d time.Duration) {
-	if f.paused {
+// delaySending sends nothing for the given time.
+func (f *Forwarder) delaySending(d time.Duration) {
+	if f.sendDelayed {
 		return
 	}
-	f.paused = true
+	f.sendDelayed = true
 	f.env.After(d, func() {
-		f.paused = false
-		f.pump()
+		f.sendDelayed = false
+		f.trySend()
 	})
 }
 
-// expire refuses reports that have waited for too long.
-func (f *Forwarder) expire() {
+// refuseExpired refuses reports that have been queued for too long.
+func (f *Forwarder) refuseExpired() {
 	now := f.env.Now()
-	for len(f.queue) > 0 && now >= f.queue[0].until {
+	for len(f.queue) > 0 && now >= f.queue[0].deadline {
 		w := f.queue[0]
 		f.queue = f.queue[1:]
-		f.bytes -= len(w.body)
+		f.queuedBytes -= len(w.body)
 		f.refuse(w)
 	}
 }
 
-// send sends one batch.
-func (f *Forwarder) send(addr string) {
+// sendBatch sends one batch of results and reports.
+func (f *Forwarder) sendBatch(addr string) {
 	batch := Batch{V: Version, From: f.label}
 	size := 0
-	for len(f.results) > 0 && size < mostBatch {
+	for len(f.results) > 0 && size < maxBatchBytes {
 		size += len(f.results[0].Body)
 		batch.Results = append(batch.Results, f.results[0])
 		f.results = f.results[1:]
 	}
-	var sent []*waiting
-	for len(f.queue) > 0 && (size == 0 || size+len(f.queue[0].body) < mostBatch) {
+	var sent []*pendingReport
+	for len(f.queue) > 0 && (size == 0 || size+len(f.queue[0].body) < maxBatchBytes) {
 		w := f.queue[0]
 		f.queue = f.queue[1:]
-		f.bytes -= len(w.body)
+		f.queuedBytes -= len(w.body)
 		size += len(w.body)
 		sent = append(sent, w)
 		batch.Reports = append(batch.Reports, Report{w.id, w.body})
 	}
-	f.flying++
-	gen := f.gen
+	f.inFlight++
+	generation := f.generation
 	f.env.Call(actor.Call{Addr: addr, Method: "POST", Path: ReportsPath, Type: ContentType, Body: encode(batch), Timeout: batchTimeout, Done: func(a actor.Answer) {
-		if f.gen != gen { // we was paused meanwhile
+		if f.generation != generation { // the process was paused in the meantime
 			f.refuseAll(sent)
 			return
 		}
-		f.flying--
-		f.answered(a, sent)
-		f.pump()
+		f.inFlight--
+		f.handleAnswers(a, sent)
+		f.trySend()
 	}})
 }
 
-func (f *Forwarder) refuseAll(ws []*waiting) {
+func (f *Forwarder) refuseAll(ws []*pendingReport) {
 	for _, w := range ws {
 		f.refuse(w)
 	}
 }
 
-// answered hands the leader's answers to the workers. What surely reached no leader is sent
-// again, to the next one; what may have is not.
-func (f *Forwarder) answered(a actor.Answer, sent []*waiting) {
+// handleAnswers passes the leader's answers to the workers. Reports that certainly reached no
+// leader are queued again; those that may have reached one are refused.
+func (f *Forwarder) handleAnswers(a actor.Answer, sent []*pendingReport) {
 	var m *Answers
 	var err error
 	if a.Err == nil && a.Status == 200 {
@@ -196,9 +198,9 @@
 	case a.Unsent(), a.Err == nil && a.Status != 200, m != nil && !m.Leading:
 		f.queue = append(sent, f.queue...)
 		for _, w := range sent {
-			f.bytes += len(w.body)
+			f.queuedBytes += len(w.body)
 		}
-		f.pause(retryPause)
+		f.delaySending(retryDelay)
 		return
 	case a.Err != nil || err != nil:
 		f.refuseAll(sent)
@@ -218,33 +220,34 @@
 	}
 }
 
-// Orders sends what the leader has us send; the results go with the next batch.
-func (f *Forwarder) Orders(body []byte) error {
+// HandleOrders sends the leader's orders to the workers. The results go with the next batch.
+func (f *Forwarder) HandleOrders(body []byte) error {
 	m, err := decode(body, func(m *Orders) int { return m.V })
 	if err != nil {
 		return err
 	}
 	for _, o := range m.Orders {
-		f.order(o)
+		f.sendOrder(o)
 	}
 	return nil
 }
 
-func (f *Forwarder) order(o Order) {
-	gen := f.gen
-	// Where reports are spread sockets are short: none is kept for a worker's next order.
+func (f *Forwarder) sendOrder(o Order) {
+	generation := f.generation
+	// Reports are spread where sockets are scarce, so no connection is kept for the worker's
+	// next order.
 	f.env.Call(actor.Call{Addr: o.Addr, Method: "POST", Path: o.Path, Body: o.Body, Timeout: orderTimeout, DisableKeepAlive: true, Done: func(a actor.Answer) {
-		if f.gen != gen {
-			return // the leader has given it up
+		if f.generation != generation {
+			return // the leader has timed it out
 		}
 		r := Result{ID: o.ID, Outcome: Answered, Status: a.Status, Body: a.Body}
 		switch {
 		case a.Unsent():
 			r = Result{ID: o.ID, Outcome: NotSent}
-		case a.Err != nil || len(a.Body) >= mostBatch:
+		case a.Err != nil || len(a.Body) >= maxBatchBytes:
 			r = Result{ID: o.ID, Outcome: NoAnswer}
 		}
 		f.results = append(f.results, r)
-		f.pump()
+		f.trySend()
 	}})
 }
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -1,10 +1,11 @@
 // Package forward lets every controller take workers' reports for the leader. A controller
 // that isn't the leader keeps the workers' connections, passes their reports on in batches
-// and gives back the leader's answers; the leader's direct orders go by way of it.
+// and returns the leader's answers. It also passes on the leader's direct orders.
 //
-// It decides nothing: it never answers a report by itself, passes on no report and no order
-// twice, and changes no content. For the rules it is part of the network between the leader
-// and a worker, which may lose, delay and hold messages anyway (docs/scale.md).
+// It makes no decisions: it never answers a report by itself except to refuse it, passes on no
+// report and no order twice, and changes no content. The protocol treats it as part of the
+// network between the leader and a worker, which may lose or delay messages anyway
+// (docs/scale.md).
 package forward
 
 import (
@@ -19,38 +20,38 @@
 	OrdersPath  = "/peer/orders"  // from the leader
 )
 
-// Version of the messages. A node's status says which one it takes.
+// Version is the version of the messages. A node's status says which one it takes.
 const Version = 1
 
-// ContentType of all messages.
+// ContentType is the content type of all messages.
 const ContentType = "application/cbor"
 
 const (
-	// mostBatch is how many bytes of bodies a message holds, below the limit of a request.
-	mostBatch = 48 << 10
-	// MostReport is the largest report that is passed on.
-	MostReport = 32 << 10
-	// mostFlying is how many messages to one controller are under way at a time.
-	mostFlying = 4
+	// maxBatchBytes limits the bodies in a message to less than the limit of a request.
+	maxBatchBytes = 48 << 10
+	// MaxReportBytes is the size of the largest report that is passed on.
+	MaxReportBytes = 32 << 10
+	// maxBatchesInFlight is how many messages to the leader are under way at a time.
+	maxBatchesInFlight = 4
 )
 
-// Report is a worker's report as it came.
+// Report is a worker's report, unchanged.
 type Report struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Body []byte `cbor:"2,keyasint"`
 }
 
-// Outcome says what came of an order.
+// Outcome says what is known about the execution of an order.
 type Outcome uint8
 
 // The outcomes of an order.
 const (
 	Answered Outcome = iota + 1
-	NotSent          // the worker has seen nothing
-	NoAnswer         // it may have been executed, or may be yet
+	NotSent          // the worker has not received it
+	NoAnswer         // it may have been executed, or may still be
 )
 
-// Result is what came of an order.
+// Result is the outcome of an order, with the worker's answer if there is one.
 type Result struct {
 	ID      uint64  `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint"`
@@ -74,10 +75,10 @@
 	Body       []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// Answers are those to a batch's reports.
+// Answers are the answers to the reports of a batch.
 type Answers struct {
 	V int `cbor:"1,keyasint"`
-	// Leading is false if the node doesn't lead and has looked at nothing.
+	// Leading is false if the node doesn't lead and has processed none of the batch.
 	Leading bool     `cbor:"2,keyasint"`
 	Answers []Answer `cbor:"3,keyasint,omitempty"`
 }
@@ -90,7 +91,7 @@
 	Body []byte `cbor:"4,keyasint"`
 }
 
-// Orders are what the leader has a controller send.
+// Orders are the orders that a controller is to send for the leader.
 type Orders struct {
 	V      int     `cbor:"1,keyasint"`
 	Orders []Order `cbor:"2,keyasint"`
@@ -99,7 +100,7 @@
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic("forward: " + err.Error()) // a type of ours that CBOR cannot hold
+		panic("forward: " + err.Error()) // one of our types can't be encoded
 	}
 	return b
 }
@@ -111,7 +112,7 @@
 		return nil, fmt.Errorf("forward: %w", err)
 	}
 	if v := version(&m); v < 1 {
-		return nil, fmt.Errorf("forward: version %d makes no sense", v)
+		return nil, fmt.Errorf("forward: invalid message version %d", v)
 	}
 	return &m, nil
 }
--- a/internal/forward/spread.go
+++ b/internal/forward/spread.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// Recent is who was heard lately.
-type Recent struct {
-	span  time.Duration
-	seen  map[string]time.Duration
-	swept time.Duration
+// RecentSet is a set of names that were seen recently.
+type RecentSet struct {
+	ttl       time.Duration
+	lastSeen  map[string]time.Duration
+	lastSweep time.Duration
 }
 
-// NewRecent makes a set that forgets after the span.
-func NewRecent(span time.Duration) *Recent {
-	return &Recent{span: span, seen: map[string]time.Duration{}}
+// NewRecentSet creates a set that keeps a name for the given time after it was last seen.
+func NewRecentSet(ttl time.Duration) *RecentSet {
+	return &RecentSet{ttl: ttl, lastSeen: map[string]time.Duration{}}
 }
 
-// Add notes that somebody was heard.
-func (r *Recent) Add(name string, now time.Duration) { r.seen[name] = now }
+// Add records that a name was seen.
+func (r *RecentSet) Add(name string, now time.Duration) { r.lastSeen[name] = now }
 
-// Has reports whether somebody was heard lately.
-func (r *Recent) Has(name string) bool {
-	_, ok := r.seen[name]
+// Has reports whether a name is in the set. Names expire when Count is called.
+func (r *RecentSet) Has(name string) bool {
+	_, ok := r.lastSeen[name]
 	return ok
 }
 
-// Remove forgets somebody.
-func (r *Recent) Remove(name string) { delete(r.seen, name) }
+// Remove removes a name.
+func (r *RecentSet) Remove(name string) { delete(r.lastSeen, name) }
 
-// Count is how many were heard lately; it looks at all at most once a second.
-func (r *Recent) Count(now time.Duration) int {
-	if now-r.swept >= time.Second {
-		r.swept = now
-		for name, at := range r.seen {
-			if now-at > r.span {
-				delete(r.seen, name)
+// Count returns the number of names. It removes expired ones, at most once a second.
+func (r *RecentSet) Count(now time.Duration) int {
+	if now-r.lastSweep >= time.Second {
+		r.lastSweep = now
+		for name, at := range r.lastSeen {
+			if now-at > r.ttl {
+				delete(r.lastSeen, name)
 			}
 		}
 	}
-	return len(r.seen)
+	return len(r.lastSeen)
 }
 
-// Reporter is a controller that takes reports.
-type Reporter struct {
+// Receiver is a controller that takes reports.
+type Receiver struct {
 	Label, Zone string
 	Workers     int // that report to it
 }
 
 const (
-	// A controller takes so many times its equal share of the workers, and some more.
-	mostOfShare, moreThanShare = 1.25, 8
+	// A controller takes up to maxShareFactor times its equal share of the workers, and
+	// shareAllowance more.
+	maxShareFactor, shareAllowance = 1.25, 8
 )
 
-// Full reports whether a controller with so many workers should send further ones to
-// others; all has every controller that takes reports, itself included.
-func Full(own int, all []Reporter) bool {
-	return float64(own) > mostOfShare*share(all)+moreThanShare
+// Overloaded reports whether a controller with the given number of workers should redirect
+// further ones. All lists every controller that takes reports, including itself.
+func Overloaded(own int, all []Receiver) bool {
+	return float64(own) > maxShareFactor*equalShare(all)+shareAllowance
 }
 
-func share(all []Reporter) float64 {
+func equalShare(all []Receiver) float64 {
 	n := 0
 	for _, r := range all {
 		n += r.Workers
@@ -68,15 +69,16 @@
 	return float64(n) / float64(max(1, len(all)))
 }
 
-// Choose is the controller to which a worker is sent: one of its zone that has less than
-// its share, else the one with the fewest workers; "" if all have their share.
-func Choose(all []Reporter, zone string) string {
-	most := share(all)
-	less := slices.DeleteFunc(slices.Clone(all), func(r Reporter) bool { return float64(r.Workers) >= most })
+// ChooseReceiver returns the controller to which a worker of the zone is redirected, of those
+// with less than their equal share: one in its zone if there is one, then the one with the
+// fewest workers. It returns "" if no controller has less than its share.
+func ChooseReceiver(all []Receiver, zone string) string {
+	most := equalShare(all)
+	less := slices.DeleteFunc(slices.Clone(all), func(r Receiver) bool { return float64(r.Workers) >= most })
 	if len(less) == 0 {
 		return ""
 	}
-	best := slices.MinFunc(less, func(a, b Reporter) int {
+	best := slices.MinFunc(less, func(a, b Receiver) int {
 		if (a.Zone == zone) != (b.Zone == zone) {
 			if a.Zone == zone {
 				return -1
--- a/internal/intake/gate.go
+++ b/internal/intake/gate.go
@@ -10,125 +10,129 @@
 )
 
 const (
-	// longestWait is how long a submission waits at the door at most: a flood of one
-	// class delays others' by less than a second.
-	longestWait = 900 * time.Millisecond
-	// mostWaiting bounds the queue.
-	mostWaiting = 256
-	// mostClasses of a team are told apart; what comes beside them shares a queue.
-	mostClasses = 32
-	// credit is how many turns a class or team that came less often than it might is
-	// given at once: single users come in bursts, too, and were sent away for seconds
-	// by a flood of others.
-	credit = 6
-	// forget is after how long of silence a class is forgotten.
-	forget = 2 * time.Minute
-	// longestAfter is the longest that a user is told to stay away.
-	longestAfter = 30 * time.Second
-	// rateOver is the time over which rates are averaged.
-	rateOver = 3 * time.Second
-	// Where more of a class comes than can be taken, its smallest go in first: as many as
-	// can be are served. One turn in so many is for one of any size, which keeps its place.
-	anyEvery = 8
-	// others is the class of what isn't told apart; no class has this name.
-	others = "\x00others"
+	// maxQueueTime is how long a submission may be queued, so that a flood of one class
+	// delays the others by less than a second.
+	maxQueueTime = 900 * time.Millisecond
+	// maxQueued is how many submissions may be queued.
+	maxQueued = 256
+	// maxClassesPerTeam is how many classes of a team have queues of their own. All others
+	// share one.
+	maxClassesPerTeam = 32
+	// burstCredit is how many turns a class or team that used less than its share may have
+	// at once. Single users submit in bursts, too, and without it a flood of other
+	// submissions had them refused for seconds.
+	burstCredit = 6
+	// classIdleTimeout is after how long without submissions a class may be forgotten.
+	classIdleTimeout = 2 * time.Minute
+	// maxRetryAfter is the longest time after which a user is asked to retry.
+	maxRetryAfter = 30 * time.Second
+	// rateWindow is the time over which rates are averaged.
+	rateWindow = 3 * time.Second
+	// Where more of a class arrives than can be admitted, its smallest submissions are
+	// admitted first, so that as many as possible are. On average, one turn in exemptEvery
+	// is for the exempt submission, which keeps its place whatever its size.
+	exemptEvery = 8
+	// otherClasses names the queue that the other classes of a team share. No class has
+	// this name.
+	otherClasses = "\x00others"
 )
 
-// meter is a rate that fades.
-type meter struct {
-	rate float64
-	at   time.Duration
+// rateMeter measures a rate with exponential decay.
+type rateMeter struct {
+	rate      float64
+	updatedAt time.Duration
 }
 
-func (m *meter) now(now time.Duration) float64 {
-	if now > m.at {
-		m.rate *= math.Exp(-(now - m.at).Seconds() / rateOver.Seconds())
-		m.at = now
+func (m *rateMeter) current(now time.Duration) float64 {
+	if now > m.updatedAt {
+		m.rate *= math.Exp(-(now - m.updatedAt).Seconds() / rateWindow.Seconds())
+		m.updatedAt = now
 	}
 	return m.rate
 }
 
-func (m *meter) add(now time.Duration) { m.rate = m.now(now) + 1/rateOver.Seconds() }
+func (m *rateMeter) add(now time.Duration) { m.rate = m.current(now) + 1/rateWindow.Seconds() }
 
 type entry struct {
-	at   time.Duration
-	size float64 // of its work
-	any  bool    // keeps its place, whatever its size
-	run  func()
-	late func(after int)
+	queuedAt time.Duration
+	size     float64 // the amount of work that it asks for
+	exempt   bool    // keeps its place in the queue, whatever its size
+	onAdmit  func()
+	onRefuse func(after int)
 }
 
 type class struct {
-	team    *team
-	name    string
-	queue   []entry
-	virtual float64 // start-time fair queueing: who has had least goes first
-	out     meter   // admitted
-	seen    time.Duration
-	// slots is when the next one who was refused may come back: those who stay away
-	// are given times one after the other at the rate that can be taken.
-	slots time.Duration
+	team        *team
+	name        string
+	queue       []entry
+	virtualTime float64 // for start-time fair queueing: the lowest goes first
+	admissions  rateMeter
+	lastSeen    time.Duration
+	// nextRetry is when the next refused user may retry. Refused users are given
+	// successive times, at the rate of admission.
+	nextRetry time.Duration
 }
 
 type team struct {
-	name    string
-	weight  float64
-	virtual float64
-	clock   float64 // of the virtual time of its classes
-	classes map[string]*class
-	list    []*class // the same, as first seen
-	waiting int
+	name         string
+	weight       float64
+	virtualTime  float64
+	virtualClock float64 // the virtual time of its classes
+	classes      map[string]*class
+	list         []*class // the same classes, in the order in which they were first seen
+	queued       int
 }
 
-// Gate is the door of a node for submissions.
-type Gate struct {
+// FairQueue queues a node's submissions and admits them fairly by team and, within each team,
+// by class.
+type FairQueue struct {
 	rng    *rand.Rand
 	weight func(team string) float64
-	// Room takes what one submission needs, if it is there.
-	Room func() bool
-	// Rate is how many a second there is room for in any case; nil: not known. After an
-	// outage nobody has been let in for a while, and users who were refused then were
-	// told to stay away for half a minute.
-	Rate    func() float64
-	teams   map[string]*team
-	order   []*team // as first seen
-	waiting int
-	in, out meter
-	clock   float64 // of the virtual time of teams
-	// Refused counts those who were told to come back.
+	// TryAcquire takes the capacity that one submission needs, if it is available.
+	TryAcquire func() bool
+	// Rate returns how many submissions a second there is capacity for in any case; nil:
+	// unknown. After an outage nothing has been admitted for a while, and with the measured
+	// rate alone users who were refused then were asked to retry after half a minute.
+	Rate                 func() float64
+	teams                map[string]*team
+	order                []*team // in the order in which they were first seen
+	queued               int
+	arrivals, admissions rateMeter
+	virtualClock         float64 // the virtual time of the teams
+	// Refused counts the refused submissions.
 	Refused int
-	// Shut are the classes that have more in the cluster than their part of what it
-	// can hold; nothing of them is taken until the leader says otherwise.
-	Shut map[fair.Key]bool
+	// BlockedClasses are the classes with more unfinished work than their part of what the
+	// controllers can hold. The leader determines them; none of their submissions is admitted.
+	BlockedClasses map[fair.Key]bool
 }
 
-// NewGate makes a door; weight says how teams share it, nil: alike.
-func NewGate(rng *rand.Rand, weight func(team string) float64) *Gate {
+// NewFairQueue creates a queue; weight returns a team's weight, nil: all teams weigh the same.
+func NewFairQueue(rng *rand.Rand, weight func(team string) float64) *FairQueue {
 	if weight == nil {
 		weight = func(string) float64 { return 1 }
 	}
-	return &Gate{rng: rng, weight: weight, teams: map[string]*team{}}
+	return &FairQueue{rng: rng, weight: weight, teams: map[string]*team{}}
 }
 
-func (g *Gate) class(k fair.Key, now time.Duration) *class {
-	t := g.teams[k.Team]
+func (q *FairQueue) classFor(k fair.Key, now time.Duration) *class {
+	t := q.teams[k.Team]
 	if t == nil {
-		t = &team{name: k.Team, weight: max(0.01, g.weight(k.Team)), classes: map[string]*class{}}
-		g.teams[k.Team] = t
-		g.order = append(g.order, t)
+		t = &team{name: k.Team, weight: max(0.01, q.weight(k.Team)), classes: map[string]*class{}}
+		q.teams[k.Team] = t
+		q.order = append(q.order, t)
 	}
 	c := t.classes[k.Class]
-	if c == nil && len(t.classes) >= mostClasses {
+	if c == nil && len(t.classes) >= maxClassesPerTeam {
 		t.list = slices.DeleteFunc(t.list, func(x *class) bool {
-			old := now-x.seen > forget && len(x.queue) == 0
+			old := now-x.lastSeen > classIdleTimeout && len(x.queue) == 0
 			if old {
 				delete(t.classes, x.name)
 			}
 			return old
 		})
-		if len(t.classes) >= mostClasses {
-			k.Class = others
-			c = t.classes[others]
+		if len(t.classes) >= maxClassesPerTeam {
+			k.Class = otherClasses
+			c = t.classes[otherClasses]
 		}
 	}
 	if c == nil {
@@ -136,53 +140,54 @@
 		t.classes[k.Class] = c
 		t.list = append(t.list, c)
 	}
-	c.seen = now
+	c.lastSeen = now
 	return c
 }
 
-// Offer brings a submission of a team that exists, with how much work it asks for. One
-// of the two functions is called: run, now or later, when it is let in, or late with
-// when to come back, in seconds.
-func (g *Gate) Offer(now time.Duration, k fair.Key, size float64, run func(), late func(after int)) {
-	c := g.class(k, now)
-	g.in.add(now)
-	if g.Shut[k] {
-		g.refuse(now, c, late)
+// Offer queues a submission of an existing team, with the amount of work that it asks for.
+// One of the two functions is called, now or later: onAdmit, or onRefuse with the number of
+// seconds after which to retry.
+func (q *FairQueue) Offer(now time.Duration, k fair.Key, size float64, onAdmit func(), onRefuse func(after int)) {
+	c := q.classFor(k, now)
+	q.arrivals.add(now)
+	if q.BlockedClasses[k] {
+		q.refuse(now, c, onRefuse)
 		return
 	}
-	if g.waiting == 0 && g.Room() {
-		g.admit(now, c, run)
+	if q.queued == 0 && q.TryAcquire() {
+		q.admit(now, c, onAdmit)
 		return
 	}
-	if g.waiting >= mostWaiting || len(c.queue) >= max(credit, int(longestWait/g.pause(c, now))) {
-		// One that is larger comes back in its place.
-		i := c.largest()
-		if i < 0 || c.anyOne() >= 0 && c.queue[i].size <= size {
-			g.refuse(now, c, late)
+	if q.queued >= maxQueued || len(c.queue) >= max(burstCredit, int(maxQueueTime/q.admissionInterval(c, now))) {
+		// The largest submission is refused instead if it is larger, or if no submission
+		// is exempt, so that this one becomes exempt.
+		i := c.largestIndex()
+		if i < 0 || c.exemptIndex() >= 0 && c.queue[i].size <= size {
+			q.refuse(now, c, onRefuse)
 			return
 		}
-		g.refuse(now, c, g.take(c, i).late)
+		q.refuse(now, c, q.remove(c, i).onRefuse)
 	}
 	if len(c.queue) == 0 {
-		if c.team.waiting == 0 {
-			c.team.virtual = max(c.team.virtual, g.clock-credit/c.team.weight)
+		if c.team.queued == 0 {
+			c.team.virtualTime = max(c.team.virtualTime, q.virtualClock-burstCredit/c.team.weight)
 		}
-		c.virtual = max(c.virtual, c.team.clock-credit)
+		c.virtualTime = max(c.virtualTime, c.team.virtualClock-burstCredit)
 	}
-	c.queue = append(c.queue, entry{now, size, c.anyOne() < 0, run, late})
-	c.team.waiting++
-	g.waiting++
+	c.queue = append(c.queue, entry{now, size, c.exemptIndex() < 0, onAdmit, onRefuse})
+	c.team.queued++
+	q.queued++
 }
 
-// pause is the time between two of the class that are let in, as things are.
-func (g *Gate) pause(c *class, now time.Duration) time.Duration {
-	all := max(0.5, g.out.now(now))
-	if g.Rate != nil {
-		all = max(all, g.Rate())
+// admissionInterval returns the expected time between two admissions of the class.
+func (q *FairQueue) admissionInterval(c *class, now time.Duration) time.Duration {
+	all := max(0.5, q.admissions.current(now))
+	if q.Rate != nil {
+		all = max(all, q.Rate())
 	}
 	weights, classes := 0.0, 0
-	for _, t := range g.order {
-		if t.waiting > 0 || t == c.team {
+	for _, t := range q.order {
+		if t.queued > 0 || t == c.team {
 			weights += t.weight
 		}
 	}
@@ -191,54 +196,55 @@
 			classes++
 		}
 	}
-	rate := max(c.out.now(now), all*c.team.weight/weights/float64(classes))
+	rate := max(c.admissions.current(now), all*c.team.weight/weights/float64(classes))
 	return time.Duration(float64(time.Second) / rate)
 }
 
-func (g *Gate) refuse(now time.Duration, c *class, late func(after int)) {
-	g.Refused++
-	pause := g.pause(c, now)
-	c.slots = max(c.slots, now+time.Second) + pause
-	after := c.slots - now
-	if after > longestAfter {
-		// More than can be taken in that time: spread over the later half of it.
-		c.slots = now + longestAfter
-		after = longestAfter/2 + time.Duration(g.rng.Int64N(int64(longestAfter/2)))
+func (q *FairQueue) refuse(now time.Duration, c *class, onRefuse func(after int)) {
+	q.Refused++
+	interval := q.admissionInterval(c, now)
+	c.nextRetry = max(c.nextRetry, now+time.Second) + interval
+	after := c.nextRetry - now
+	if after > maxRetryAfter {
+		// More than can be admitted in that time: retries are spread over its second half.
+		c.nextRetry = now + maxRetryAfter
+		after = maxRetryAfter/2 + time.Duration(q.rng.Int64N(int64(maxRetryAfter/2)))
 	}
-	late(int(math.Ceil(after.Seconds())))
+	onRefuse(int(math.Ceil(after.Seconds())))
 }
 
-func (g *Gate) admit(now time.Duration, c *class, run func()) {
-	c.out.add(now)
-	g.out.add(now)
-	run()
+func (q *FairQueue) admit(now time.Duration, c *class, onAdmit func()) {
+	c.admissions.add(now)
+	q.admissions.add(now)
+	onAdmit()
 }
 
-// Pump lets in what there is room for, who had least first, and refuses what has
-// waited for too long. It reports whether anything waits still.
-func (g *Gate) Pump(now time.Duration) bool {
-	for g.waiting > 0 {
-		c := g.next()
-		if now-c.queue[0].at >= longestWait {
-			g.refuse(now, c, g.take(c, 0).late)
+// Dispatch admits what there is capacity for, in the order of virtual times, and refuses
+// what has been queued for too long. It reports whether anything is still queued.
+func (q *FairQueue) Dispatch(now time.Duration) bool {
+	for q.queued > 0 {
+		c := q.nextClass()
+		if now-c.queue[0].queuedAt >= maxQueueTime {
+			q.refuse(now, c, q.remove(c, 0).onRefuse)
 			continue
 		}
-		if !g.Room() {
+		if !q.TryAcquire() {
 			break
 		}
-		e := g.take(c, g.turn(c))
-		g.clock, c.team.clock = max(g.clock, c.team.virtual), max(c.team.clock, c.virtual)
-		c.team.virtual += 1 / c.team.weight
-		c.virtual++
-		g.admit(now, c, e.run)
+		e := q.remove(c, q.nextEntry(c))
+		q.virtualClock, c.team.virtualClock = max(q.virtualClock, c.team.virtualTime), max(c.team.virtualClock, c.virtualTime)
+		c.team.virtualTime += 1 / c.team.weight
+		c.virtualTime++
+		q.admit(now, c, e.onAdmit)
 	}
-	g.giveUp(now, longestWait) // others than whose turn it is
-	return g.waiting > 0
+	q.refuseOlderThan(now, maxQueueTime) // of the other classes, too
+	return q.queued > 0
 }
 
-// turn is whose turn it is in the class: the smallest's, now and then that of any size.
-func (g *Gate) turn(c *class) int {
-	if i := c.anyOne(); i >= 0 && g.rng.IntN(anyEvery) == 0 {
+// nextEntry returns the index of the submission of the class to admit next: the smallest one,
+// or the exempt one on average once in exemptEvery turns.
+func (q *FairQueue) nextEntry(c *class) int {
+	if i := c.exemptIndex(); i >= 0 && q.rng.IntN(exemptEvery) == 0 {
 		return i
 	}
 	best := 0
@@ -250,67 +256,68 @@
 	return best
 }
 
-// anyOne is the one that keeps its place whatever its size, -1 if there is none.
-func (c *class) anyOne() int {
-	return slices.IndexFunc(c.queue, func(e entry) bool { return e.any })
+// exemptIndex returns the index of the exempt submission, -1 if there is none.
+func (c *class) exemptIndex() int {
+	return slices.IndexFunc(c.queue, func(e entry) bool { return e.exempt })
 }
 
-// largest is the largest one of the others, -1 if there is none.
-func (c *class) largest() int {
+// largestIndex returns the index of the largest submission that isn't exempt, -1 if there is
+// none.
+func (c *class) largestIndex() int {
 	best := -1
 	for i := range c.queue {
-		if !c.queue[i].any && (best < 0 || c.queue[i].size > c.queue[best].size) {
+		if !c.queue[i].exempt && (best < 0 || c.queue[i].size > c.queue[best].size) {
 			best = i
 		}
 	}
 	return best
 }
 
-// take takes one out of a class's queue, in which the oldest comes first.
-func (g *Gate) take(c *class, i int) entry {
+// remove removes a submission from the queue of a class, which begins with the oldest one.
+func (q *FairQueue) remove(c *class, i int) entry {
 	e := c.queue[i]
 	c.queue = slices.Delete(c.queue, i, i+1)
-	c.team.waiting--
-	g.waiting--
+	c.team.queued--
+	q.queued--
 	return e
 }
 
-// giveUp refuses all that have waited for so long.
-func (g *Gate) giveUp(now, least time.Duration) {
-	for _, t := range g.order {
+// refuseOlderThan refuses all submissions that have been queued for at least minAge.
+func (q *FairQueue) refuseOlderThan(now, minAge time.Duration) {
+	for _, t := range q.order {
 		for _, c := range t.list {
-			for len(c.queue) > 0 && now-c.queue[0].at >= least {
-				g.refuse(now, c, g.take(c, 0).late)
+			for len(c.queue) > 0 && now-c.queue[0].queuedAt >= minAge {
+				q.refuse(now, c, q.remove(c, 0).onRefuse)
 			}
 		}
 	}
 }
 
-// next is the class whose turn it is; something waits.
-func (g *Gate) next() *class {
+// nextClass returns the class whose turn it is. The queue must not be empty.
+func (q *FairQueue) nextClass() *class {
 	var t *team
-	for _, x := range g.order {
-		if x.waiting > 0 && (t == nil || x.virtual < t.virtual) {
+	for _, x := range q.order {
+		if x.queued > 0 && (t == nil || x.virtualTime < t.virtualTime) {
 			t = x
 		}
 	}
 	var c *class
 	for _, x := range t.list {
-		if len(x.queue) > 0 && (c == nil || x.virtual < c.virtual || x.virtual == c.virtual && x.name < c.name) {
+		if len(x.queue) > 0 && (c == nil || x.virtualTime < c.virtualTime || x.virtualTime == c.virtualTime && x.name < c.name) {
 			c = x
 		}
 	}
 	return c
 }
 
-// Want is how many submissions come here, a second.
-func (g *Gate) Want(now time.Duration) float64 { return g.in.now(now) }
+// ArrivalRate returns how many submissions arrive here per second.
+func (q *FairQueue) ArrivalRate(now time.Duration) float64 { return q.arrivals.current(now) }
 
-// Admitted is how many are let in, a second.
-func (g *Gate) Admitted(now time.Duration) float64 { return g.out.now(now) }
+// AdmissionRate returns how many submissions are admitted per second.
+func (q *FairQueue) AdmissionRate(now time.Duration) float64 { return q.admissions.current(now) }
 
-// Waiting is how many wait at the door.
-func (g *Gate) Waiting() int { return g.waiting }
+// Waiting returns how many submissions are queued.
+func (q *FairQueue) Waiting() int { return q.queued }
 
-// Drop refuses all that wait: their users may have given up.
-func (g *Gate) Drop(now time.Duration) { g.giveUp(now, 0) }
+// RefuseAll refuses all queued submissions, whose users may have given up.
+func (q *FairQueue) RefuseAll(now time.Duration) { q.refuseOlderThan(now, 0) }
--- a/internal/intake/parts.go
+++ b/internal/intake/parts.go
@@ -1,6 +1,7 @@
-// Package intake limits what all controllers together take in. The leader hands parts
-// of the cluster's limit to the nodes, by demand and for a short time; a node spends
-// only what it holds, and shares that fairly between teams and, within them, classes.
+// Package intake limits the rate of submissions that all controllers admit together. The
+// leader allocates parts of the cluster's limit to the nodes, by demand and for a short
+// time. A node uses only its allocation, which it divides fairly between teams and, within
+// each team, between classes.
 package intake
 
 import (
@@ -10,221 +11,225 @@
 )
 
 const (
-	// TTL is how long a part lasts, counted by its holder from the moment at which it
-	// sent the mark that the leader's message echoes: before the part was handed out,
-	// however late the message arrives. A pause doesn't stretch it, since the
-	// steady clock runs on.
+	// TTL is how long an allocation lasts. Its holder counts from when it sent the
+	// timestamp that the leader's message echoes, which is before the allocation was made,
+	// however late the message arrives. A pause of the process doesn't extend it, since
+	// the steady clock runs on.
 	TTL = 4 * time.Second
-	// lasts is how long the leader counts a part as spent after it was last sent:
-	// clocks drift apart by at most 0.05%.
-	lasts = TTL + TTL/500
-	// basePart is what of a node's even share it holds at any time, without a leader.
-	basePart = 0.3
+	// allocationLifetime is how long the leader counts an allocation as in use after it
+	// was last sent: clocks drift apart by at most 0.05%.
+	allocationLifetime = TTL + TTL/500
+	// baseShare is the part of its equal share that a node holds at any time, also without
+	// a leader.
+	baseShare = 0.3
 )
 
-// Base is what each of n nodes that don't lead holds without having been handed
-// anything, of the total for all of them.
-func Base(total float64, n int) float64 {
+// BaseRate returns the rate that each of n nodes that don't lead holds without an
+// allocation, of the total for all of them.
+func BaseRate(total float64, n int) float64 {
 	if n < 1 {
 		return 0
 	}
-	return basePart * total / float64(n)
+	return baseShare * total / float64(n)
 }
 
-// grant is a part that may be in force.
-type grant struct {
-	issue uint64
-	rate  float64
-	until time.Duration
+// allocation is a rate, beyond the base rate, that may be in force at a node.
+type allocation struct {
+	number  uint64
+	rate    float64
+	expires time.Duration
 }
 
-// Issuer divides a limit, a rate, between the nodes while its owner leads.
-type Issuer struct {
-	total float64 // all that nodes other than ours may hold together
-	began time.Duration
-	issue uint64
-	nodes []string
-	of    map[string]*dealt
+// Allocator divides a limit, which is a rate, between the nodes while its owner leads.
+type Allocator struct {
+	total  float64 // of the limit, what the nodes other than ours may hold together
+	began  time.Duration
+	number uint64
+	nodes  []string
+	states map[string]*nodeState
 }
 
-// dealt is what one node was handed.
-type dealt struct {
-	grants []grant // the last is the newest; earlier ones may be in force still
-	want   float64
-	knows  bool // its program takes parts; else it may use its fixed share
-	ours   bool // it said that it holds nothing of earlier leaders
+// nodeState is what the allocator knows of one node.
+type nodeState struct {
+	allocations  []allocation // the last is the newest; earlier ones may still be in force
+	demand       float64
+	participates bool // its program takes allocations; otherwise it may use its fixed share
+	acknowledged bool // it has reported that it holds nothing from earlier leaders
 }
 
-// NewIssuer begins a term. Earlier leaders may have handed out all of the total: it
-// counts as spent until that has surely ended.
-func NewIssuer(now time.Duration, nodes []string, total float64) *Issuer {
-	s := &Issuer{total: total, began: now, nodes: nodes, of: map[string]*dealt{}}
+// NewAllocator creates the allocator of a term. Earlier leaders may have allocated the whole
+// total, which counts as in use until those allocations have certainly expired.
+func NewAllocator(now time.Duration, nodes []string, total float64) *Allocator {
+	a := &Allocator{total: total, began: now, nodes: nodes, states: map[string]*nodeState{}}
 	for _, n := range nodes {
-		s.of[n] = &dealt{}
+		a.states[n] = &nodeState{}
 	}
-	return s
+	return a
 }
 
-func (s *Issuer) base() float64 { return Base(s.total, len(s.nodes)) }
+func (a *Allocator) base() float64 { return BaseRate(a.total, len(a.nodes)) }
 
-// settled reports whether all that earlier leaders handed out has ended: in time, or
-// since all nodes have turned to us.
-func (s *Issuer) settled(now time.Duration) bool {
-	if now-s.began > lasts {
+// predecessorsExpired reports whether the allocations of all earlier leaders are void: they
+// have expired, or all nodes have reported that they hold none.
+func (a *Allocator) predecessorsExpired(now time.Duration) bool {
+	if now-a.began > allocationLifetime {
 		return true
 	}
-	for _, d := range s.of {
-		if !d.ours {
+	for _, state := range a.states {
+		if !state.acknowledged {
 			return false
 		}
 	}
 	return true
 }
 
-// Heard takes in what a node says: that it takes parts, whether it has turned to us
-// (Holder.Lead), which part it has applied, and how much it would use, a second.
-func (s *Issuer) Heard(node string, ours bool, applied uint64, want float64) {
-	d := s.of[node]
-	if d == nil {
+// ObserveNode records what a node reports: that it takes allocations, whether it has
+// acknowledged us as the leader (Holder.ObserveLeader), which allocation it has applied, and
+// how much it would use per second.
+func (a *Allocator) ObserveNode(node string, acknowledged bool, applied uint64, demand float64) {
+	state := a.states[node]
+	if state == nil {
 		return
 	}
-	d.knows, d.ours, d.want = true, d.ours || ours, max(0, want)
-	// What came before the part that it has applied is void.
-	for len(d.grants) > 1 && d.grants[0].issue < applied && d.grants[1].issue <= applied {
-		d.grants = d.grants[1:]
+	state.participates, state.acknowledged, state.demand = true, state.acknowledged || acknowledged, max(0, demand)
+	// Allocations before the one that the node has applied are void.
+	for len(state.allocations) > 1 && state.allocations[0].number < applied && state.allocations[1].number <= applied {
+		state.allocations = state.allocations[1:]
 	}
 }
 
-// most is the largest part that may be in force at the node.
-func (d *dealt) most(now time.Duration) float64 {
-	keep := d.grants[:0]
+// maxRate drops expired allocations and returns the highest rate that may be in force at the
+// node.
+func (s *nodeState) maxRate(now time.Duration) float64 {
+	keep := s.allocations[:0]
 	r := 0.0
-	for _, g := range d.grants {
-		if g.until > now {
-			r = max(r, g.rate)
-			keep = append(keep, g)
+	for _, alloc := range s.allocations {
+		if alloc.expires > now {
+			r = max(r, alloc.rate)
+			keep = append(keep, alloc)
 		}
 	}
-	d.grants = keep
+	s.allocations = keep
 	return r
 }
 
-// Held is how much the other nodes may spend together now, at most.
-func (s *Issuer) Held(now time.Duration) float64 {
-	if !s.settled(now) {
-		return s.total
+// HeldByOthers returns the highest rate that the other nodes may use together now.
+func (a *Allocator) HeldByOthers(now time.Duration) float64 {
+	if !a.predecessorsExpired(now) {
+		return a.total
 	}
 	sum := 0.0
-	for _, d := range s.of {
-		sum += s.holds(d, now)
+	for _, state := range a.states {
+		sum += a.heldBy(state, now)
 	}
 	return sum
 }
 
-func (s *Issuer) holds(d *dealt, now time.Duration) float64 {
-	if !d.knows {
-		return s.total / float64(len(s.nodes)) // a program that knows nothing of parts
+func (a *Allocator) heldBy(state *nodeState, now time.Duration) float64 {
+	if !state.participates {
+		return a.total / float64(len(a.nodes)) // a program that takes no allocations
 	}
-	return s.base() + d.most(now)
+	return a.base() + state.maxRate(now)
 }
 
-// Divide divides upTo anew between all nodes by what they want, our own among them:
-// its part is the first result. The others are handed theirs, beyond their base, as far
-// as it is surely free. What nobody wants stays with the leader.
-func (s *Issuer) Divide(now time.Duration, upTo, own float64) (mine float64, parts map[string]float64, issue uint64) {
-	shares := []*fair.Share{{Demand: ahead(own)}}
-	var ds []*dealt
-	for _, n := range s.nodes {
-		d := s.of[n]
-		sh := &fair.Share{Key: fair.Key{Team: n}, Demand: ahead(d.want)}
-		if !d.knows {
-			sh.Demand = s.total / float64(len(s.nodes))
+// Divide divides the limit anew between all nodes, including ours, by their demand. It
+// returns the rate of our node, and what is allocated to the others: their rates beyond the
+// base rate, as far as nobody else may still hold them. What nobody wants isn't allocated.
+func (a *Allocator) Divide(now time.Duration, limit, ownDemand float64) (ownRate float64, rates map[string]float64, number uint64) {
+	shares := []*fair.Share{{Demand: withMargin(ownDemand)}}
+	var ordered []*nodeState
+	for _, n := range a.nodes {
+		state := a.states[n]
+		share := &fair.Share{Key: fair.Key{Team: n}, Demand: withMargin(state.demand)}
+		if !state.participates {
+			share.Demand = a.total / float64(len(a.nodes))
 		}
-		ds, shares = append(ds, d), append(shares, sh)
-	}
-	fair.Divide(upTo, shares)
-	mine = shares[0].Allocated
-	if !s.settled(now) {
-		return mine, nil, 0
-	}
-	s.issue++
-	parts = map[string]float64{}
-	free := s.total - s.Held(now)
-	for i, d := range ds {
-		if !d.knows {
+		ordered, shares = append(ordered, state), append(shares, share)
+	}
+	fair.Divide(limit, shares)
+	ownRate = shares[0].Allocated
+	if !a.predecessorsExpired(now) {
+		return ownRate, nil, 0
+	}
+	a.number++
+	rates = map[string]float64{}
+	free := a.total - a.HeldByOthers(now)
+	for i, state := range ordered {
+		if !state.participates {
 			continue
 		}
-		had := d.most(now)
-		// More than before only of what nobody else may still be spending.
-		got := min(max(0, shares[i+1].Allocated-s.base()), had+max(0, free))
+		had := state.maxRate(now)
+		// An increase must come from what no other node may still be using.
+		got := min(max(0, shares[i+1].Allocated-a.base()), had+max(0, free))
 		free -= max(0, got-had)
-		d.grants = append(d.grants, grant{issue: s.issue, rate: got, until: now + lasts})
-		parts[s.nodes[i]] = got
+		state.allocations = append(state.allocations, allocation{number: a.number, rate: got, expires: now + allocationLifetime})
+		rates[a.nodes[i]] = got
 	}
-	return mine, parts, s.issue
+	return ownRate, rates, a.number
 }
 
-// ahead is what a node is given that wants so much: something more, so that a growing
-// demand shows and finds room.
-func ahead(want float64) float64 { return 1.3*want + 1 }
+// withMargin adds a margin to a node's demand, so that growing demand can be measured and
+// served.
+func withMargin(demand float64) float64 { return 1.3*demand + 1 }
 
-// Sent notes that the newest parts went out (again) now.
-func (s *Issuer) Sent(now time.Duration) {
-	for _, d := range s.of {
-		if n := len(d.grants); n > 0 {
-			d.grants[n-1].until = now + lasts
+// Sent records that the newest allocations are sent now, possibly again.
+func (a *Allocator) Sent(now time.Duration) {
+	for _, state := range a.states {
+		if n := len(state.allocations); n > 0 {
+			state.allocations[n-1].expires = now + allocationLifetime
 		}
 	}
 }
 
-// Holder is what a node holds.
+// Holder keeps the allocation that a node holds.
 type Holder struct {
-	nonce        uint64 // of this process
-	token, issue uint64
-	part         float64
-	until        time.Duration
+	nonce         uint64 // of this process
+	token, number uint64
+	rate          float64
+	expires       time.Duration
 }
 
-// markBits is how many bits of a mark count milliseconds.
-const markBits = 40
+// timestampBits is how many bits of a timestamp count milliseconds.
+const timestampBits = 40
 
-// NewHolder makes the holder of a process; the nonce tells its marks from those of an
-// earlier process.
-func NewHolder(nonce uint64) *Holder { return &Holder{nonce: nonce << markBits} }
+// NewHolder creates the holder of a process. The nonce distinguishes its timestamps from
+// those of an earlier process.
+func NewHolder(nonce uint64) *Holder { return &Holder{nonce: nonce << timestampBits} }
 
-// Mark is what the leader is to echo: our time, and who we are.
-func (h *Holder) Mark(now time.Duration) uint64 {
-	return h.nonce | uint64(now.Milliseconds())&(1<<markBits-1)
+// Timestamp returns the value that the leader is to echo: our time and the nonce.
+func (h *Holder) Timestamp(now time.Duration) uint64 {
+	return h.nonce | uint64(now.Milliseconds())&(1<<timestampBits-1)
 }
 
-// Lead hears of a leader. What an earlier one handed out is held no more, and what of it
-// is under way is not taken.
-func (h *Holder) Lead(token uint64) {
+// ObserveLeader records a leader's token. Allocations of earlier leaders are void from then
+// on, including those that arrive later.
+func (h *Holder) ObserveLeader(token uint64) {
 	if token > h.token {
-		h.token, h.issue, h.part, h.until = token, 0, 0, 0
+		h.token, h.number, h.rate, h.expires = token, 0, 0, 0
 	}
 }
 
-// Take applies a part that a leader handed out, unless it is older than what is held,
-// or its echo says that it is over.
-func (h *Holder) Take(now time.Duration, token, issue, echo uint64, part float64) {
-	at := time.Duration(echo&(1<<markBits-1)) * time.Millisecond
-	h.Lead(token)
-	if echo == 0 || echo&^uint64(1<<markBits-1) != h.nonce || at > now || now-at >= TTL ||
-		token < h.token || issue < h.issue || !(part >= 0) {
+// Apply applies an allocation from a leader, unless it is older than the current one, or the
+// echo of our timestamp shows that it has expired or isn't for this process.
+func (h *Holder) Apply(now time.Duration, token, number, echo uint64, rate float64) {
+	at := time.Duration(echo&(1<<timestampBits-1)) * time.Millisecond
+	h.ObserveLeader(token)
+	if echo == 0 || echo&^uint64(1<<timestampBits-1) != h.nonce || at > now || now-at >= TTL ||
+		token < h.token || number < h.number || !(rate >= 0) {
 		return
 	}
-	if issue == h.issue {
-		h.until = max(h.until, at+TTL)
+	if number == h.number {
+		h.expires = max(h.expires, at+TTL)
 		return
 	}
-	h.issue, h.part, h.until = issue, part, at+TTL
+	h.number, h.rate, h.expires = number, rate, at+TTL
 }
 
-// Part is what is held beyond the base now, and the issue it is of.
-func (h *Holder) Part(now time.Duration) (part float64, token, issue uint64) {
-	if now >= h.until {
-		return 0, h.token, h.issue
+// Current returns the rate held beyond the base rate now, and the leader's token and the
+// number of the newest allocation.
+func (h *Holder) Current(now time.Duration) (rate float64, token, number uint64) {
+	if now >= h.expires {
+		return 0, h.token, h.number
 	}
-	return h.part, h.token, h.issue
+	return h.rate, h.token, h.number
 }
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -72,12 +72,12 @@
 		n.reporters.Add(host, n.env.Now())
 		return "", answerHere
 	}
-	if len(report) > forward.MostReport {
+	if len(report) > forward.MaxReportBytes {
 		return n.leaderLabel(), redirect
 	}
 	if own := n.reporters.Count(n.env.Now()); !n.reporters.Has(host) {
 		all := n.listReporters()
-		if to := forward.Choose(all, zone); forward.Full(own, all) && to != "" && to != n.settings.Label {
+		if to := forward.ChooseReceiver(all, zone); forward.Overloaded(own, all) && to != "" && to != n.settings.Label {
 			return to, redirect
 		}
 	}
@@ -86,21 +86,21 @@
 }
 
 // listReporters lists the controllers that take reports, this one first.
-func (n *Node) listReporters() []forward.Reporter {
-	all := []forward.Reporter{reporter(n.settings.Label, n.settings.Location, n.reporters.Count(n.env.Now()), n.term != nil)}
-	n.peers.Lately(func(p settings.Peer, s *peer.Status) {
-		if s.Forward >= forward.Version {
-			all = append(all, reporter(p.Label, p.Location, int(s.Reporters), s.Leading))
+func (n *Node) listReporters() []forward.Receiver {
+	all := []forward.Receiver{reporter(n.settings.Label, n.settings.Location, n.reporters.Count(n.env.Now()), n.term != nil)}
+	n.peers.ForEachRecent(func(p settings.Peer, s *peer.Status) {
+		if s.ForwardVersion >= forward.Version {
+			all = append(all, reporter(p.Label, p.Location, int(s.ReportingWorkers), s.Leading))
 		}
 	})
 	return all
 }
 
-func reporter(label, zone string, workers int, leads bool) forward.Reporter {
+func reporter(label, zone string, workers int, leads bool) forward.Receiver {
 	if leads {
 		workers *= leaderWeight
 	}
-	return forward.Reporter{Label: label, Zone: zone, Workers: workers}
+	return forward.Receiver{Label: label, Zone: zone, Workers: workers}
 }
 
 // leaderEndpoint is the address to which reports are forwarded, "" if this node leads or no
@@ -114,8 +114,8 @@
 
 // fillForwarding sets the fields about forwarded reports in a status.
 func (n *Node) fillForwarding(st *peer.Status) {
-	st.Forward, st.Reporters = forward.Version, uint64(n.reporters.Count(n.env.Now()))
-	st.Spread = n.term != nil && n.spread
+	st.ForwardVersion, st.ReportingWorkers = forward.Version, uint64(n.reporters.Count(n.env.Now()))
+	st.SpreadReports = n.term != nil && n.spread
 }
 
 // onPeerForwarding processes what a peer's status says about forwarded reports.
@@ -126,7 +126,7 @@
 	}
 	if s.Leading && s.Token >= n.spreadToken {
 		n.spreadToken = s.Token
-		n.spread = s.Spread && s.Forward >= forward.Version
+		n.spread = s.SpreadReports && s.ForwardVersion >= forward.Version
 	}
 }
 
@@ -153,7 +153,7 @@
 	case r.Path == forward.ReportsPath:
 		n.serveForwardedReports(r.Body, reply)
 	case r.Path == forward.OrdersPath:
-		if err := n.forwarder.Orders(r.Body); err != nil {
+		if err := n.forwarder.HandleOrders(r.Body); err != nil {
 			n.badMessage(err, reply)
 			return true
 		}
@@ -180,7 +180,7 @@
 		reply(httpx.Response{Status: 200, Type: forward.ContentType, Body: forward.EncodeAnswers(false, nil)})
 		return
 	}
-	n.term.sender.Results(batch.Results)
+	n.term.sender.HandleResults(batch.Results)
 	answers := make([]forward.Answer, 0, len(batch.Reports))
 	for _, x := range batch.Reports {
 		n.answerReportVia(batch.From, x.Body, func(resp httpx.Response) {
@@ -232,7 +232,7 @@
 // the worker stays. The surplus of workers is redirected over several seconds.
 func (t *term) moveTarget(host, zone string, size int) string {
 	n := t.node
-	if size > forward.MostReport {
+	if size > forward.MaxReportBytes {
 		return ""
 	}
 	now := n.env.Now()
@@ -251,7 +251,7 @@
 	if surplus < 1 || t.moveAllowance < 1 {
 		return ""
 	}
-	to := forward.Choose(all, zone)
+	to := forward.ChooseReceiver(all, zone)
 	if to == "" {
 		return ""
 	}
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -55,7 +55,7 @@
 	}
 	now := n.env.Now()
 	if t := n.term; t != nil && n.election.SoleLeader() {
-		return all - t.issuer.Held(now)
+		return all - t.issuer.HeldByOthers(now)
 	}
 	if n.term == nil && n.election.SoleLeader() {
 		return all - others // elected, but the state of the term isn't built yet
@@ -63,8 +63,8 @@
 	if n.oldLeaderUntil > 0 && now < n.oldLeaderUntil {
 		return others / float64(len(n.settings.Peers)) // the leader's program has fixed shares only
 	}
-	part, _, _ := n.holder.Part(now)
-	return intake.Base(others, len(n.settings.Peers)) + part
+	part, _, _ := n.holder.Current(now)
+	return intake.BaseRate(others, len(n.settings.Peers)) + part
 }
 
 // oldLeaderFor is how long after its last status a leader whose program hands out no parts is
@@ -76,56 +76,56 @@
 	now := n.env.Now()
 	n.onPeerCancellations(s)
 	n.onPeerForwarding(s)
-	if s.Gate >= 1 {
-		n.marks[s.Label] = s.Mark
+	if s.IntakeVersion >= 1 {
+		n.marks[s.Label] = s.Timestamp
 		if t := n.term; t != nil {
-			applied := s.Applied
+			applied := s.AppliedAllocation
 			if s.AppliedToken != t.token {
 				applied = 0
 			}
-			t.issuer.Heard(s.Label, s.AppliedToken == t.token, applied, float64(s.Want)/1000)
+			t.issuer.ObserveNode(s.Label, s.AppliedToken == t.token, applied, float64(s.IntakeDemand)/1000)
 		}
 	}
 	if !s.Leading {
 		return
 	}
-	if s.Gate < 1 {
+	if s.IntakeVersion < 1 {
 		n.oldLeaderUntil = now + oldLeaderFor
 		return
 	}
 	n.oldLeaderUntil = 0
-	n.holder.Lead(s.Token)
-	if part, ok := s.Parts[n.settings.Label]; ok {
-		n.holder.Take(now, s.Token, s.Issue, s.Echo[n.settings.Label], float64(part)/1000)
+	n.holder.ObserveLeader(s.Token)
+	if part, ok := s.Allocations[n.settings.Label]; ok {
+		n.holder.Apply(now, s.Token, s.AllocationNumber, s.TimestampEchoes[n.settings.Label], float64(part)/1000)
 	}
 	if n.term == nil {
-		n.shut(s.Shut)
+		n.shut(s.BlockedClasses)
 	}
 }
 
 func (n *Node) shut(keys [][2]string) {
-	n.gate.Shut = nil
+	n.gate.BlockedClasses = nil
 	for i, k := range keys {
 		if i == 0 {
-			n.gate.Shut = map[fair.Key]bool{}
+			n.gate.BlockedClasses = map[fair.Key]bool{}
 		}
-		n.gate.Shut[fair.Key{Team: k[0], Class: k[1]}] = true
+		n.gate.BlockedClasses[fair.Key{Team: k[0], Class: k[1]}] = true
 	}
 }
 
 // fillParts sets the fields about parts in a status.
 func (n *Node) fillParts(st *peer.Status) {
 	now := n.env.Now()
-	st.Gate, st.Mark, st.Want = gateVersion, n.holder.Mark(now), uint64(1000*n.gate.Want(now))
-	_, st.AppliedToken, st.Applied = n.holder.Part(now)
+	st.IntakeVersion, st.Timestamp, st.IntakeDemand = gateVersion, n.holder.Timestamp(now), uint64(1000*n.gate.ArrivalRate(now))
+	_, st.AppliedToken, st.AppliedAllocation = n.holder.Current(now)
 	t := n.term
 	if t == nil || !n.election.SoleLeader() {
 		return
 	}
-	st.Echo, st.Shut = n.marks, t.shut
+	st.TimestampEchoes, st.BlockedClasses = n.marks, t.shut
 	if t.issue > 0 {
 		t.issuer.Sent(now)
-		st.Parts, st.Issue = t.parts, t.issue
+		st.Allocations, st.AllocationNumber = t.parts, t.issue
 	}
 }
 
@@ -142,7 +142,7 @@
 	} else {
 		t.ease = min(1, t.ease+easeUp)
 	}
-	mine, parts, issue := t.issuer.Divide(now, t.ease*admittedFraction*t.node.store.TotalWriteRate(), t.node.gate.Want(now))
+	mine, parts, issue := t.issuer.Divide(now, t.ease*admittedFraction*t.node.store.TotalWriteRate(), t.node.gate.ArrivalRate(now))
 	t.node.store.SetSubmissionRate(mine)
 	t.issue = issue
 	t.parts = map[string]uint64{}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 	// gate admits submissions. holder has this node's part of the cluster's rate of writes.
 	// marks has the last mark received from each peer, which a leader echoes. oldLeaderUntil is
 	// the time until which a leader whose program hands out no parts is assumed to lead.
-	gate           *intake.Gate
+	gate           *intake.FairQueue
 	holder         *intake.Holder
 	marks          map[string]uint64
 	weight         func(team string) float64
@@ -68,7 +68,7 @@
 	// report to this node. spread says whether the newest known leader has all nodes take
 	// reports; spreadToken is that leader's token.
 	forwarder   *forward.Forwarder
-	reporters   *forward.Recent
+	reporters   *forward.RecentSet
 	spread      bool
 	spreadToken uint64
 	// notForwarded counts the reports that could not be forwarded since the log message of
@@ -112,7 +112,7 @@
 	// parts, and issue numbers the current ones. ease is the factor, at most 1, to which
 	// admission is reduced while the leader's writes are behind. shut lists the teams and
 	// classes of which nothing is admitted.
-	issuer        *intake.Issuer
+	issuer        *intake.Allocator
 	cancellations *cancellation.Tracker
 	issue         uint64
 	parts         map[string]uint64
@@ -173,8 +173,8 @@
 	if opt.Sharing != nil {
 		n.floors = &placement.MinShares{Sharing: opt.Sharing, Weight: n.weight}
 	}
-	n.gate = intake.NewGate(env.Rand(), n.weight)
-	n.gate.Room, n.gate.Rate = n.store.AdmitSubmission, n.store.SubmissionRate
+	n.gate = intake.NewFairQueue(env.Rand(), n.weight)
+	n.gate.TryAcquire, n.gate.Rate = n.store.AdmitSubmission, n.store.SubmissionRate
 	n.admission.Gate = n.gate
 	n.rolloutAPI = rollout.NewDoor(env, n.store, f.Teams)
 	n.rolloutAPI.Check = n.admission.Check
@@ -190,15 +190,15 @@
 		return n.term.unitsLive(name, holders)
 	}
 	n.admission.CheckUnits = func(s *model.Spec) (understood bool, err error) {
-		return n.peers.AllRead(ledger.UnitsFormat), n.unitsAPI.Check(s)
+		return n.peers.AllCanRead(ledger.UnitsFormat), n.unitsAPI.Check(s)
 	}
 	n.peers = peer.New(env, set.Peers, n.status)
 	n.peers.OnLeader = n.onPeerLeads
 	n.peers.OnStatus = n.onPeerStatus
-	n.reporters = forward.NewRecent(reporterWindow(f.Workers.ReportS))
+	n.reporters = forward.NewRecentSet(reporterWindow(f.Workers.ReportS))
 	n.forwarder = forward.NewForwarder(env, set.Label, n.leaderEndpoint)
-	n.forwarder.Refused = n.onNotForwarded
-	n.rolloutAPI.Understood = func() bool { return n.peers.AllRead(ledger.ServiceFormat) }
+	n.forwarder.OnRefused = n.onNotForwarded
+	n.rolloutAPI.Understood = func() bool { return n.peers.AllCanRead(ledger.ServiceFormat) }
 	n.rolloutAPI.Live = func(name string) (*wire.RolloutLive, string) {
 		if n.term == nil {
 			return nil, ""
@@ -213,7 +213,7 @@
 			done(resp, ok && sent >= n.resumedAt) // an answer from before a pause may be outdated
 		})
 	}
-	n.peers.OnUser = func(r *httpx.Request, reply func(httpx.Response)) {
+	n.peers.OnUserRequest = func(r *httpx.Request, reply func(httpx.Response)) {
 		if !n.admission.Serve(r, true, reply) {
 			reply(httpx.Response{Status: 404, Body: wire.Error("no such path")})
 		}
@@ -229,7 +229,7 @@
 	})
 	n.election = leader.New(env, n.store, set.Label, n.beginTerm, n.endTerm)
 	n.election.ShouldDefer = func() bool {
-		others, _ := n.peers.Workers()
+		others, _ := n.peers.SeekingWorkers()
 		return others >= minWorkersToJudge && n.workersSeekingLeader() == 0
 	}
 	n.store.OnResync(func() { n.election.Resign("changes of the state service were missed") })
@@ -256,7 +256,7 @@
 }
 
 func (n *Node) status() peer.Status {
-	st := peer.Status{Label: n.settings.Label, State: (n.env.Now() - n.store.LastContact()).Milliseconds(), Leading: n.term != nil, Workers: n.workersSeekingLeader(), Reads: ledger.UnitsFormat}
+	st := peer.Status{Label: n.settings.Label, StateAgeMS: (n.env.Now() - n.store.LastContact()).Milliseconds(), Leading: n.term != nil, SeekingWorkers: n.workersSeekingLeader(), JobFormat: ledger.UnitsFormat}
 	if n.term != nil {
 		st.Token = n.term.token
 	}
@@ -295,7 +295,7 @@
 	if silent >= stateCutAfter && n.peers.OthersReachState(stateCutAfter) {
 		return false
 	}
-	return silent < isolatedAfter || !n.peers.OthersReachState(isolatedAfter) && n.peers.Heard()
+	return silent < isolatedAfter || !n.peers.OthersReachState(isolatedAfter) && n.peers.HeardRecently()
 }
 
 func (n *Node) liveJob(id string) (done, running int, why string, ok bool) {
@@ -359,7 +359,7 @@
 	n.store.Paused()
 	n.election.Paused()
 	n.admission.Paused()
-	n.forwarder.Paused()
+	n.forwarder.AbortPending()
 	if t := n.term; t != nil {
 		t.workers.Paused(gap)
 		t.rollouts.Paused(gap)
@@ -371,12 +371,12 @@
 	f := &n.settings.Facts
 	base, _ := leader.ReadBase(n.store) // a node that can't read it does not stand for election
 	t := &term{node: n, token: token + base.Token, base: base, lastClearSearch: map[*ledger.Job]time.Duration{}, lastPreemptSearch: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastConsolidation: -consolidateEvery, aims: placement.NewObjectives(f.Objectives)}
-	t.issuer, t.ease = intake.NewIssuer(n.env.Now(), n.peerLabels(), n.store.FollowerWriteRate()), 1
+	t.issuer, t.ease = intake.NewAllocator(n.env.Now(), n.peerLabels(), n.store.FollowerWriteRate()), 1
 	t.cancellations = n.newCancellationListener(t.token)
 	t.ledger = ledger.New(n.env, n.store, token, f.Teams)
 	t.ledger.AttemptOffset = base.Attempts
-	t.fleet = fleet.New(n.env, t.ledger, n.store, token, fleet.Config{Charter: t.token, Cloud: n.settings.External.Cloud, RPS: f.Cloud.RPS, Share: f.Limits.CPUShare,
-		ListLag: seconds(f.Cloud.ListLagS), Report: seconds(f.Workers.ReportS), IdleKeep: 15 * time.Second, Patience: 45 * time.Second, Headroom: 0.5})
+	t.fleet = fleet.New(n.env, t.ledger, n.store, token, fleet.Config{RentalID: t.token, CloudAddr: n.settings.External.Cloud, RPS: f.Cloud.RPS, CPUShare: f.Limits.CPUShare,
+		ListLag: seconds(f.Cloud.ListLagS), ReportInterval: seconds(f.Workers.ReportS), IdleTimeout: 15 * time.Second, WaitTolerance: 45 * time.Second, Headroom: 0.5})
 	warm := n.images.Snapshot()
 	t.ledger.RestoreImages = func(m *ledger.Machine) {
 		for image, x := range warm[m.Name] {
@@ -501,8 +501,8 @@
 	c := &t.ledger.Changes
 	t.node.env.Log().Info("written in this term", "for_s", roundToTenth((now - t.workers.Began()).Seconds()), "starts", c.Starts, "tasks", c.Tasks, "ends", c.Ends,
 		"marks", c.Marks, "drops", c.Drops)
-	t.node.env.Log().Info("door", "ease", roundToTenth(t.ease), "behind_s", roundToTenth(t.ledger.WriteBacklogS(model.Low)), "others_hold", roundToTenth(t.issuer.Held(now)), "wanted", roundToTenth(t.node.gate.Want(now)),
-		"admitted", roundToTenth(t.node.gate.Admitted(now)), "refused", t.node.gate.Refused, "shut", len(t.shut), "longest_quiet_s", roundToTenth(t.ledger.LongestWriteStall.Seconds()), "floored", len(t.floored))
+	t.node.env.Log().Info("door", "ease", roundToTenth(t.ease), "behind_s", roundToTenth(t.ledger.WriteBacklogS(model.Low)), "others_hold", roundToTenth(t.issuer.HeldByOthers(now)), "wanted", roundToTenth(t.node.gate.ArrivalRate(now)),
+		"admitted", roundToTenth(t.node.gate.AdmissionRate(now)), "refused", t.node.gate.Refused, "shut", len(t.shut), "longest_quiet_s", roundToTenth(t.ledger.LongestWriteStall.Seconds()), "floored", len(t.floored))
 	if teams := t.teamUsage(); teams != "" {
 		t.node.env.Log().Info("teams", "use", teams)
 	}
--- a/internal/node/overview.go
+++ b/internal/node/overview.go
@@ -24,7 +24,7 @@
 	if n.store.Synced() {
 		o.StateSilentS = roundToTenth((now - n.store.LastContact()).Seconds())
 	}
-	o.Door = &wire.DoorView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.gate.Want(now)), Admitted: roundToTenth(n.gate.Admitted(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
+	o.Door = &wire.DoorView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.gate.ArrivalRate(now)), Admitted: roundToTenth(n.gate.AdmissionRate(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
 	t := n.term
 	if t == nil {
 		return o
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -70,7 +70,7 @@
 	}
 	claims := placement.NewClaims(t.ledger, t.aims, t.floored, now)
 	for _, j := range t.ledger.Order() {
-		t.fleet.Arrived(j, t.aims.HasWaitObjective(j), claims[j] == placement.Entitled)
+		t.fleet.RecordArrival(j, t.aims.HasWaitObjective(j), claims[j] == placement.Entitled)
 	}
 	placement.ReleaseHolds(v)
 	order := placement.Order(t.ledger, v, claims)
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -182,7 +182,7 @@
 	if all < minWorkersToJudge || heardRecently*5 >= all*2 {
 		return false
 	}
-	seekingAtPeers, allPeersHeard := n.peers.Workers()
+	seekingAtPeers, allPeersHeard := n.peers.SeekingWorkers()
 	if seekingAtPeers >= minWorkersToJudge && 2*seekingAtPeers >= all-heardRecently ||
 		!allPeersHeard && heard*5 < all*2 && leadingFor >= (8*time.Second+reportEvery)<<min(n.yields, 5) {
 		n.env.Log().Info("most workers don't reach this node", "workers", all, "heard", heardRecently, "at_others", seekingAtPeers, "all_peers_heard", allPeersHeard)
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -10,9 +10,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzMessages feeds what peers send, in CBOR.
+// FuzzMessages serves arbitrary messages of peers.
 func FuzzMessages(f *testing.F) {
-	for _, v := range []any{Status{V: 1, Label: "n1", State: 400, Reads: 4}, relayed{"GET", "/v2/runs/j-1", nil}, relayAnswer{200, 0, []byte("{}")}} {
+	for _, v := range []any{Status{V: 1, Label: "n1", StateAgeMS: 400, JobFormat: 4}, relayedRequest{"GET", "/v2/runs/j-1", nil}, relayedResponse{200, 0, []byte("{}")}} {
 		b, err := cbor.Marshal(v)
 		if err != nil {
 			f.Fatal(err)
@@ -21,8 +21,8 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a := New(&env{now: time.Minute}, []settings.Peer{{Label: "n1"}}, func() Status { return Status{Label: "n0"} })
-		a.OnUser = func(r *httpx.Request, reply func(httpx.Response)) { reply(httpx.Response{Status: 404}) }
-		for _, path := range []string{Path, RelayPath} {
+		a.OnUserRequest = func(r *httpx.Request, reply func(httpx.Response)) { reply(httpx.Response{Status: 404}) }
+		for _, path := range []string{StatusPath, RelayPath} {
 			answered := 0
 			a.Serve(&httpx.Request{Method: "POST", Path: path, Body: b}, func(r httpx.Response) { answered = r.Status })
 			if answered != 200 && answered != 400 {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,8 @@
-// Package peer is what controllers tell each other, in CBOR: how they stand
-// with the state service, and whether they lead. Nothing in it makes a leader; it
-// helps a node to tell an outage, which everybody has, from a refusal that it
-// has alone, and a leader that hears of a newer one to give way at once.
+// Package peer exchanges the statuses of the controllers, in CBOR: how long ago the
+// state service answered them, and whether they lead. It elects no leader. It lets a
+// node distinguish an outage of the state service, which affects all nodes, from a
+// refusal of this node alone, and lets a leader that hears of a newer one step down at
+// once.
 package peer
 
 import (
@@ -16,129 +17,135 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Path of the status exchange.
-const Path = "/peer/status"
+// StatusPath is the path of the status exchange.
+const StatusPath = "/peer/status"
 
 const contentType = "application/cbor"
 
-// Status of a node.
+// Status is the status of a node.
 type Status struct {
-	V       int    `cbor:"1,keyasint"`
-	Label   string `cbor:"2,keyasint"`
-	State   int64  `cbor:"3,keyasint"` // ms since the state service's last definite answer
-	Leading bool   `cbor:"4,keyasint"`
-	Token   uint64 `cbor:"5,keyasint,omitempty"` // with which it leads
-	// Workers is how many workers lately came here looking for the leader.
-	Workers int `cbor:"6,keyasint,omitempty"`
-	// Reads is the newest format of job records that its program reads, 0 for
-	// programs that don't say.
-	Reads int `cbor:"7,keyasint,omitempty"`
-	// Gate is the version of the parts (package intake) that its program takes and, as
-	// a leader, hands out; 0: none.
-	Gate int `cbor:"8,keyasint,omitempty"`
-	// Mark is what the leader is to echo.
-	Mark uint64 `cbor:"9,keyasint,omitempty"`
-	// Want is how many thousandths of a submission come to it a second.
-	Want uint64 `cbor:"10,keyasint,omitempty"`
-	// Applied is the part that it holds, and whose.
-	Applied      uint64 `cbor:"11,keyasint,omitempty"`
-	AppliedToken uint64 `cbor:"12,keyasint,omitempty"`
-	// What a leader hands out: to each node by label, in thousandths of a change a
-	// second, with the number of the issue, and the last mark it had of each.
-	Parts map[string]uint64 `cbor:"13,keyasint,omitempty"`
-	Issue uint64            `cbor:"14,keyasint,omitempty"`
-	Echo  map[string]uint64 `cbor:"15,keyasint,omitempty"`
-	// Shut are teams and classes of which nothing more is taken now.
-	Shut [][2]string `cbor:"16,keyasint,omitempty"`
-	// What a leader asks about cancellations, and what the others answer (package cancellation).
+	V          int    `cbor:"1,keyasint"`
+	Label      string `cbor:"2,keyasint"`
+	StateAgeMS int64  `cbor:"3,keyasint"` // ms since the state service's last definite answer
+	Leading    bool   `cbor:"4,keyasint"`
+	Token      uint64 `cbor:"5,keyasint,omitempty"` // of the term in which it leads
+	// SeekingWorkers is how many workers recently came to the node looking for the leader.
+	SeekingWorkers int `cbor:"6,keyasint,omitempty"`
+	// JobFormat is the newest format of job records that its program reads, 0 for
+	// programs that don't report it.
+	JobFormat int `cbor:"7,keyasint,omitempty"`
+	// IntakeVersion is the version of the allocations (package intake) that its program
+	// takes and, as a leader, makes; 0: none.
+	IntakeVersion int `cbor:"8,keyasint,omitempty"`
+	// Timestamp is the value that the leader is to echo.
+	Timestamp uint64 `cbor:"9,keyasint,omitempty"`
+	// IntakeDemand is the rate of submissions that arrive at the node, in thousandths per
+	// second.
+	IntakeDemand uint64 `cbor:"10,keyasint,omitempty"`
+	// AppliedAllocation is the number of the allocation that the node has applied, and
+	// AppliedToken the token of the leader that made it.
+	AppliedAllocation uint64 `cbor:"11,keyasint,omitempty"`
+	AppliedToken      uint64 `cbor:"12,keyasint,omitempty"`
+	// Allocations are a leader's allocations to the nodes by label, in thousandths of a
+	// change per second, AllocationNumber is their number, and TimestampEchoes are the last
+	// timestamps received from the nodes.
+	Allocations      map[string]uint64 `cbor:"13,keyasint,omitempty"`
+	AllocationNumber uint64            `cbor:"14,keyasint,omitempty"`
+	TimestampEchoes  map[string]uint64 `cbor:"15,keyasint,omitempty"`
+	// BlockedClasses are the teams and classes of which no submissions are admitted now.
+	BlockedClasses [][2]string `cbor:"16,keyasint,omitempty"`
+	// Question is what a leader asks about cancellations, and Answer what another node
+	// answers (package cancellation).
 	Question *cancellation.Question `cbor:"17,keyasint,omitempty"`
 	Answer   *cancellation.Answer   `cbor:"18,keyasint,omitempty"`
-	// Forward is the version of the messages (package forward) in which its program passes
-	// workers' reports on, 0: it doesn't. Reporters is how many workers report to it.
-	Forward   int    `cbor:"19,keyasint,omitempty"`
-	Reporters uint64 `cbor:"20,keyasint,omitempty"`
-	// Spread: the leader has all controllers take reports.
-	Spread bool `cbor:"21,keyasint,omitempty"`
+	// ForwardVersion is the version of the messages (package forward) in which its program
+	// passes workers' reports on; 0: it doesn't. ReportingWorkers is how many workers
+	// report to the node.
+	ForwardVersion   int    `cbor:"19,keyasint,omitempty"`
+	ReportingWorkers uint64 `cbor:"20,keyasint,omitempty"`
+	// SpreadReports says that the leader has all controllers take reports.
+	SpreadReports bool `cbor:"21,keyasint,omitempty"`
 }
 
 const (
-	version = 1
-	every   = time.Second
-	timeout = 800 * time.Millisecond
-	// What a peer said is believed for this long.
-	fresh = 3 * time.Second
+	statusVersion    = 1
+	exchangeInterval = time.Second
+	exchangeTimeout  = 800 * time.Millisecond
+	// statusTTL is how long a peer's status counts as recent.
+	statusTTL = 3 * time.Second
 )
 
-type known struct {
+type receivedStatus struct {
 	Status
-	at time.Duration
+	receivedAt time.Duration
 }
 
 // Actor exchanges statuses with the peers.
 type Actor struct {
-	env   actor.Env
-	peers []settings.Peer
-	own   func() Status
-	known map[string]known
-	// OnUser answers a user's request that a peer could not.
-	OnUser   func(r *httpx.Request, reply func(httpx.Response))
-	relaying int
-	// OnLeader hears that a peer leads, and with which token.
+	env       actor.Env
+	peers     []settings.Peer
+	ownStatus func() Status
+	statuses  map[string]receivedStatus
+	// OnUserRequest answers a user's request that a peer could not answer.
+	OnUserRequest  func(r *httpx.Request, reply func(httpx.Response))
+	relaysInFlight int
+	// OnLeader is called with the token of a peer that leads.
 	OnLeader func(token uint64)
-	// OnStatus hears what a peer says.
+	// OnStatus is called with each peer's status.
 	OnStatus func(s *Status)
 }
 
-// New makes the actor; own tells the node's current status.
-func New(env actor.Env, peers []settings.Peer, own func() Status) *Actor {
-	return &Actor{env: env, peers: peers, own: own, known: map[string]known{}}
+// New creates the actor; ownStatus returns the node's current status.
+func New(env actor.Env, peers []settings.Peer, ownStatus func() Status) *Actor {
+	return &Actor{env: env, peers: peers, ownStatus: ownStatus, statuses: map[string]receivedStatus{}}
 }
 
-// Start begins to tell the peers. Of two, the one with the smaller label asks:
-// a question tells as much as its answer, and with seven nodes every pair
-// asking both ways was 42 requests a second on machines that are tiny.
+// Start begins the exchange of statuses. Of two nodes only the one with the smaller
+// label sends requests, since a request carries as much as its answer: with seven nodes,
+// requests in both directions were 42 a second on very small machines.
 func (a *Actor) Start() {
 	body := a.encode()
-	me := a.own().Label
+	me := a.ownStatus().Label
 	for _, p := range a.peers {
 		label := p.Label
 		if label < me {
 			continue
 		}
-		a.env.Call(actor.Call{Addr: p.Endpoint, Method: "POST", Path: Path, Type: contentType, Body: body, Timeout: timeout, Done: func(ans actor.Answer) {
+		a.env.Call(actor.Call{Addr: p.Endpoint, Method: "POST", Path: StatusPath, Type: contentType, Body: body, Timeout: exchangeTimeout, Done: func(ans actor.Answer) {
 			if ans.Err != nil || ans.Status != 200 {
 				return
 			}
-			if err := a.learn(ans.Body, label); err != nil {
-				a.env.Log().Error("bad answer of a peer", "peer", label, "err", err)
+			if err := a.recordStatus(ans.Body, label); err != nil {
+				a.env.Log().Error("invalid response from a peer", "peer", label, "err", err)
 			}
 		}})
 	}
-	a.env.After(every, a.Start)
+	a.env.After(exchangeInterval, a.Start)
 }
 
 func (a *Actor) encode() []byte {
-	s := a.own()
-	s.V = version
+	s := a.ownStatus()
+	s.V = statusVersion
 	b, err := cbor.Marshal(s)
 	if err != nil {
-		panic("peer: " + err.Error()) // a type of ours that CBOR cannot hold
+		panic("peer: " + err.Error()) // one of our types can't be encoded
 	}
 	return b
 }
 
-// learn takes in a status; label is whose it has to be, "" for any peer's.
-func (a *Actor) learn(b []byte, label string) error {
+// recordStatus records a status, which has to be that of the peer with the label, "": any
+// peer.
+func (a *Actor) recordStatus(b []byte, label string) error {
 	var s Status
 	if err := cbor.Unmarshal(b, &s); err != nil {
 		return fmt.Errorf("status: %w", err)
 	}
-	if s.V < 1 || s.State < 0 || s.Workers < 0 || (label != "" && s.Label != label) {
-		return fmt.Errorf("status of %q, version %d, is not what was asked for", s.Label, s.V)
+	if s.V < 1 || s.StateAgeMS < 0 || s.SeekingWorkers < 0 || (label != "" && s.Label != label) {
+		return fmt.Errorf("invalid status of %q, version %d", s.Label, s.V)
 	}
 	for _, p := range a.peers {
 		if p.Label == s.Label {
-			a.known[s.Label] = known{s, a.env.Now()}
+			a.statuses[s.Label] = receivedStatus{s, a.env.Now()}
 			if s.Leading && s.Token > 0 && a.OnLeader != nil {
 				a.OnLeader(s.Token)
 			}
@@ -148,37 +155,37 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("status of %q, who is no peer", s.Label)
+	return fmt.Errorf("status of %q, which is not a peer", s.Label)
 }
 
-// Serve answers a peer.
+// Serve answers a peer's request.
 func (a *Actor) Serve(r *httpx.Request, reply func(httpx.Response)) {
 	if r.Path == RelayPath && r.Method == "POST" {
 		a.serveRelayed(r, reply)
 		return
 	}
-	if r.Path != Path || r.Method != "POST" {
+	if r.Path != StatusPath || r.Method != "POST" {
 		reply(httpx.Response{Status: 404})
 		return
 	}
-	if err := a.learn(r.Body, ""); err != nil {
-		a.env.Log().Error("bad message of a peer", "err", err)
+	if err := a.recordStatus(r.Body, ""); err != nil {
+		a.env.Log().Error("invalid message from a peer", "err", err)
 		reply(httpx.Response{Status: 400})
 		return
 	}
 	reply(httpx.Response{Status: 200, Type: contentType, Body: a.encode()})
 }
 
-// Lately calls f for every peer that was heard of lately, in the settings' order.
-func (a *Actor) Lately(f func(p settings.Peer, s *Status)) {
+// ForEachRecent calls f for each peer with a recent status, in the order of the settings.
+func (a *Actor) ForEachRecent(f func(p settings.Peer, s *Status)) {
 	for _, p := range a.peers {
-		if k, ok := a.known[p.Label]; ok && a.env.Now()-k.at <= fresh {
+		if k, ok := a.statuses[p.Label]; ok && a.env.Now()-k.receivedAt <= statusTTL {
 			f(p, &k.Status)
 		}
 	}
 }
 
-// Endpoint is the address of a peer for other controllers, "" if there is none.
+// Endpoint returns the address of a peer for other controllers, "" if there is no such peer.
 func (a *Actor) Endpoint(label string) string {
 	for _, p := range a.peers {
 		if p.Label == label {
@@ -188,58 +195,58 @@
 	return ""
 }
 
-// OthersReachState reports whether a peer has had an answer of the state
-// service within the span, by what it said lately.
+// OthersReachState reports whether a peer with a recent status has had an answer from
+// the state service within the span.
 func (a *Actor) OthersReachState(span time.Duration) bool {
 	now := a.env.Now()
-	for _, k := range a.known {
-		if age := now - k.at; age <= fresh && time.Duration(k.State)*time.Millisecond+age <= span {
+	for _, k := range a.statuses {
+		if age := now - k.receivedAt; age <= statusTTL && time.Duration(k.StateAgeMS)*time.Millisecond+age <= span {
 			return true
 		}
 	}
 	return false
 }
 
-// Leader is the peer that lately said it leads, with the highest token; "" if
-// none did.
+// Leader returns the label of the peer that leads according to the recent statuses, of
+// several the one with the highest token; "" if none does.
 func (a *Actor) Leader() string {
 	label, token := "", uint64(0)
-	for _, k := range a.known {
-		if k.Leading && k.Token > token && a.env.Now()-k.at <= fresh {
+	for _, k := range a.statuses {
+		if k.Leading && k.Token > token && a.env.Now()-k.receivedAt <= statusTTL {
 			label, token = k.Label, k.Token
 		}
 	}
 	return label
 }
 
-// Workers is how many workers, by what the peers said lately, came to them
-// looking for the leader; all says that every peer was heard.
-func (a *Actor) Workers() (n int, all bool) {
-	heard := 0
-	for _, k := range a.known {
-		if a.env.Now()-k.at <= fresh {
-			heard++
-			n += k.Workers
+// SeekingWorkers returns how many workers came to the peers looking for the leader,
+// according to the recent statuses; complete: the statuses of all peers are recent.
+func (a *Actor) SeekingWorkers() (n int, complete bool) {
+	recent := 0
+	for _, k := range a.statuses {
+		if a.env.Now()-k.receivedAt <= statusTTL {
+			recent++
+			n += k.SeekingWorkers
 		}
 	}
-	return n, heard == len(a.peers)
+	return n, recent == len(a.peers)
 }
 
-// AllRead reports whether every peer that was heard of lately reads job records of
-// the format. During an upgrade some don't.
-func (a *Actor) AllRead(format int) bool {
-	for _, k := range a.known {
-		if a.env.Now()-k.at <= fresh && k.Reads < format {
+// AllCanRead reports whether all peers with a recent status read job records of the
+// format. During an upgrade some don't.
+func (a *Actor) AllCanRead(format int) bool {
+	for _, k := range a.statuses {
+		if a.env.Now()-k.receivedAt <= statusTTL && k.JobFormat < format {
 			return false
 		}
 	}
 	return true
 }
 
-// Heard reports whether any peer has said something lately.
-func (a *Actor) Heard() bool {
-	for _, k := range a.known {
-		if a.env.Now()-k.at <= fresh {
+// HeardRecently reports whether any peer has a recent status.
+func (a *Actor) HeardRecently() bool {
+	for _, k := range a.statuses {
+		if a.env.Now()-k.receivedAt <= statusTTL {
 			return true
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,14 +24,14 @@
 
 func TestStatus(t *testing.T) {
 	e := &env{now: time.Minute}
-	a := New(e, []settings.Peer{{Label: "n1"}}, func() Status { return Status{Label: "n0", State: 5} })
-	tell := func(s any) int {
+	a := New(e, []settings.Peer{{Label: "n1"}}, func() Status { return Status{Label: "n0", StateAgeMS: 5} })
+	post := func(s any) int {
 		b, err := cbor.Marshal(s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := 0
-		a.Serve(&httpx.Request{Method: "POST", Path: Path, Body: b}, func(r httpx.Response) {
+		a.Serve(&httpx.Request{Method: "POST", Path: StatusPath, Body: b}, func(r httpx.Response) {
 			got = r.Status
 			var s Status
 			if r.Status == 200 && (cbor.Unmarshal(r.Body, &s) != nil || s.Label != "n0") {
@@ -41,30 +41,30 @@
 		return got
 	}
 	if a.OthersReachState(time.Hour) {
-		t.Error("nobody has said anything yet")
+		t.Error("a peer without a status counts as reaching the state service")
 	}
-	for _, bad := range []any{"x", 7, Status{Label: "n1"}, Status{V: 1, Label: "n9"}, Status{V: 1, Label: "n1", State: -1}} {
-		if st := tell(bad); st != 400 {
+	for _, bad := range []any{"x", 7, Status{Label: "n1"}, Status{V: 1, Label: "n9"}, Status{V: 1, Label: "n1", StateAgeMS: -1}} {
+		if st := post(bad); st != 400 {
 			t.Errorf("%+v got %d", bad, st)
 		}
 	}
-	if st := tell(Status{V: 1, Label: "n1", State: 400}); st != 200 {
+	if st := post(Status{V: 1, Label: "n1", StateAgeMS: 400}); st != 200 {
 		t.Errorf("got %d", st)
 	}
 	if !a.OthersReachState(time.Second) || a.OthersReachState(300*time.Millisecond) {
-		t.Error("a contact 0.4 s ago")
+		t.Error("a peer's last contact was 0.4 s ago, which must count within 1 s and not within 0.3 s")
 	}
-	// A peer whose program says nothing of formats, or of too old ones, holds back what
-	// it could not read.
-	if a.AllRead(3) {
-		t.Error("a peer that doesn't say is taken to read format 3")
+	// A peer whose program reports no format, or one that is too old, counts as unable to
+	// read newer records.
+	if a.AllCanRead(3) {
+		t.Error("a peer that reports no format counts as reading format 3")
 	}
-	tell(Status{V: 1, Label: "n1", State: 400, Reads: 3})
-	if !a.AllRead(3) || a.AllRead(4) {
-		t.Error("a peer reads format 3")
+	post(Status{V: 1, Label: "n1", StateAgeMS: 400, JobFormat: 3})
+	if !a.AllCanRead(3) || a.AllCanRead(4) {
+		t.Error("a peer that reads format 3 must count as reading format 3 and not format 4")
 	}
 	e.now += 4 * time.Second
 	if a.OthersReachState(time.Hour) {
-		t.Error("what was said 4 s ago is still believed")
+		t.Error("a status of 4 s ago still counts as recent")
 	}
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -9,58 +9,59 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RelayPath is where a node passes on a user's request that it can't answer
-// itself, because the state service refuses it alone or doesn't reach it. The
-// user would be sent away for a second or more, to come back to the same node.
+// RelayPath is the path on which a node passes on a user's request that it can't answer
+// itself, because the state service refuses just this node or isn't reachable from it.
+// The user would otherwise be asked to retry after a second or more, and then come to the
+// same node.
 const RelayPath = "/peer/user"
 
 const (
 	relayTimeout = 1200 * time.Millisecond
-	// So many requests are passed on at once; what is beyond is refused.
-	mostRelayed = 40
-	// A peer that had an answer of the state service within this time may have
-	// more luck.
-	relayFresh = 2500 * time.Millisecond
+	// maxRelays is how many requests may be under way to peers; further ones are refused.
+	maxRelays = 40
+	// relayMaxStateAge is within which time a peer must have had an answer from the state
+	// service to be passed a request.
+	relayMaxStateAge = 2500 * time.Millisecond
 )
 
-type relayed struct {
+type relayedRequest struct {
 	Method string `cbor:"1,keyasint"`
 	Path   string `cbor:"2,keyasint"`
 	Body   []byte `cbor:"3,keyasint,omitempty"`
 }
 
-type relayAnswer struct {
+type relayedResponse struct {
 	Status     int    `cbor:"1,keyasint"`
 	RetryAfter int    `cbor:"2,keyasint,omitempty"`
 	Body       []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Relay passes a user's request on to a peer that reaches the state service. It
-// returns false if there is none; else done is called once, ok false if the peer
-// has not answered either.
+// Relay passes a user's request on to a peer that reaches the state service. It returns
+// false if there is none, or if too many requests are under way. Otherwise done is called
+// once; ok is false if the peer has not answered either.
 func (a *Actor) Relay(r *httpx.Request, done func(resp httpx.Response, ok bool)) bool {
-	if a.relaying >= mostRelayed {
+	if a.relaysInFlight >= maxRelays {
 		return false
 	}
-	var to []string
+	var candidates []string
 	for _, p := range a.peers {
-		k, ok := a.known[p.Label]
-		if age := a.env.Now() - k.at; ok && age <= fresh && time.Duration(k.State)*time.Millisecond <= relayFresh {
-			to = append(to, p.Endpoint)
+		k, ok := a.statuses[p.Label]
+		if age := a.env.Now() - k.receivedAt; ok && age <= statusTTL && time.Duration(k.StateAgeMS)*time.Millisecond <= relayMaxStateAge {
+			candidates = append(candidates, p.Endpoint)
 		}
 	}
-	if len(to) == 0 {
+	if len(candidates) == 0 {
 		return false
 	}
-	b, err := cbor.Marshal(relayed{r.Method, r.Path, r.Body})
+	b, err := cbor.Marshal(relayedRequest{r.Method, r.Path, r.Body})
 	if err != nil {
 		panic("peer: " + err.Error())
 	}
-	a.relaying++
-	a.env.Call(actor.Call{Addr: to[a.env.Rand().IntN(len(to))], Method: "POST", Path: RelayPath, Type: contentType, Body: b, Timeout: relayTimeout,
+	a.relaysInFlight++
+	a.env.Call(actor.Call{Addr: candidates[a.env.Rand().IntN(len(candidates))], Method: "POST", Path: RelayPath, Type: contentType, Body: b, Timeout: relayTimeout,
 		Done: func(ans actor.Answer) {
-			a.relaying--
-			var x relayAnswer
+			a.relaysInFlight--
+			var x relayedResponse
 			if ans.Err != nil || ans.Status != 200 || cbor.Unmarshal(ans.Body, &x) != nil || x.Status < 200 || x.Status > 599 {
 				done(httpx.Response{}, false)
 				return
@@ -70,15 +71,15 @@
 	return true
 }
 
-// serveRelayed answers what a peer passed on. It is not passed on once more.
+// serveRelayed answers a request that a peer passed on. It is not passed on again.
 func (a *Actor) serveRelayed(r *httpx.Request, reply func(httpx.Response)) {
-	var x relayed
-	if a.OnUser == nil || cbor.Unmarshal(r.Body, &x) != nil {
+	var x relayedRequest
+	if a.OnUserRequest == nil || cbor.Unmarshal(r.Body, &x) != nil {
 		reply(httpx.Response{Status: 400})
 		return
 	}
-	a.OnUser(&httpx.Request{Method: x.Method, Path: x.Path, Body: x.Body}, func(resp httpx.Response) {
-		b, err := cbor.Marshal(relayAnswer{resp.Status, resp.RetryAfter, resp.Body})
+	a.OnUserRequest(&httpx.Request{Method: x.Method, Path: x.Path, Body: x.Body}, func(resp httpx.Response) {
+		b, err := cbor.Marshal(relayedResponse{resp.Status, resp.RetryAfter, resp.Body})
 		if err != nil {
 			panic("peer: " + err.Error())
 		}
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -229,7 +229,7 @@
 	gen := s.gen
 	p, q, _ := strings.Cut(path, "?")
 	older := s.w.Older[s.host] || s.w.Older[from]
-	if older && p == peer.Path {
+	if older && p == peer.StatusPath {
 		body = withoutParts(body)
 	}
 	if older && (p == forward.ReportsPath || p == forward.OrdersPath) {
@@ -240,7 +240,7 @@
 		s.n.Serve(&httpx.Request{Method: method, Path: p, Query: q, Body: body}, strings.HasPrefix(p, "/peer/"), func(r httpx.Response) {
 			if s.gen == gen {
 				b := append([]byte(nil), r.Body...)
-				if older && p == peer.Path {
+				if older && p == peer.StatusPath {
 					b = withoutParts(b)
 				}
 				reply(r.Status, b)
