--- a/brooklb.go
+++ b/brooklb.go
@@ -1,5 +1,5 @@
-// Package brooklb is a cluster scheduler. A program that embeds it gives it a
-// Config and calls Run; the daemon in cmd/brooklb does no more than that.
+// Package brooklb is a cluster scheduler. A program that embeds it calls New with a Config
+// and then Run, as the daemon in cmd/brooklb does.
 package brooklb
 
 import (
@@ -14,7 +14,7 @@
 	"brooklb/internal/settings"
 )
 
-// Config says what a controller needs to know.
+// Config configures a controller.
 type Config struct {
 	// SettingsFile is the platform's TOML file.
 	SettingsFile string
@@ -22,20 +22,20 @@
 	Rollouts bool
 	// Units lets operators set counted resources.
 	Units bool
-	// OptionsFile is the operator's own properties file, "": none.
+	// OptionsFile is the operator's properties file; "" means none.
 	OptionsFile string
 	// Log receives the log; nil means the default logger.
 	Log *slog.Logger
 }
 
-// Service is one controller.
+// Service is a controller of the cluster.
 type Service struct {
 	set *settings.Settings
 	opt node.Options
 	log *slog.Logger
 }
 
-// New reads and checks the settings. Nothing is started yet.
+// New reads and validates the settings. It doesn't start anything; Run does.
 func New(c Config) (*Service, error) {
 	set, err := settings.Load(c.SettingsFile)
 	if err != nil {
@@ -61,8 +61,8 @@
 
 // Run serves until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
-	// The machines are a fraction of a core: a second processor would only add
-	// switching, and the collector must respect the memory limit.
+	// A controller has a fraction of a core, so that a second processor would only add
+	// context switches. The garbage collector has to respect the memory limit.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(s.set.Facts.Limits.MemMB * 0.6 * (1 << 20)))
 	lim := s.set.Facts.Limits
@@ -72,6 +72,7 @@
 	return loop.Run(ctx, n, n.Start)
 }
 
+// hash is the 64-bit FNV-1a hash.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
--- a/cmd/brooklb/rollout.go
+++ b/cmd/brooklb/rollout.go
@@ -98,7 +98,7 @@
 	c := a.flags(&cobra.Command{
 		Use: verb + " SERVICE", Short: short, Args: services(1, "rollout "+verb+" takes one service"),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := a.ask("POST", path(args[0], verb), wire.Encode(wire.Asked{By: whoami(), Why: why}))
+			b, err := a.ask("POST", path(args[0], verb), wire.Encode(wire.RequestInfo{By: whoami(), Why: why}))
 			if err != nil {
 				return err
 			}
@@ -127,7 +127,7 @@
 			fmt.Fprintln(w, "evidence:", e)
 		}
 		if l := r.Live; l != nil && l.CheckP50MS > 0 {
-			fmt.Fprintf(w, "checks: every %.1f s, answered in %.1f ms (median), %.1f ms (99 of 100)\n", l.EveryS, l.CheckP50MS, l.CheckP99MS)
+			fmt.Fprintf(w, "checks: every %.1f s, answered in %.1f ms (median), %.1f ms (99 of 100)\n", l.CheckEveryS, l.CheckP50MS, l.CheckP99MS)
 		}
 	}
 	return nil
--- a/cmd/brooklb/state.go
+++ b/cmd/brooklb/state.go
@@ -204,7 +204,7 @@
 		w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 		for _, f := range fs {
 			sure := ""
-			if f.Maybe {
+			if f.Transient {
 				sure = "(may be so for a while)"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", f.Key, f.Rule, f.Text, sure)
@@ -215,7 +215,7 @@
 	}
 	sure := 0
 	for _, f := range fs {
-		if !f.Maybe {
+		if !f.Transient {
 			sure++
 		}
 	}
--- a/cmd/brooklb/units.go
+++ b/cmd/brooklb/units.go
@@ -240,7 +240,7 @@
 		Use: "remove RESOURCE", Short: "remove a resource; jobs that ask for it wait",
 		Args: resource("units remove takes one resource"),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := a.ask("POST", wire.PathUnits+"/"+args[0]+"/"+wire.VerbRemove, wire.Encode(wire.Asked{By: whoami()}))
+			b, err := a.ask("POST", wire.PathUnits+"/"+args[0]+"/"+wire.VerbRemove, wire.Encode(wire.RequestInfo{By: whoami()}))
 			if err != nil {
 				return err
 			}
--- a/cmd/brooklb/user.go
+++ b/cmd/brooklb/user.go
@@ -201,9 +201,9 @@
 			fmt.Fprintln(out, string(b))
 			return
 		}
-		d := o.Door
+		d := o.Admission
 		if d == nil { // an older program
-			d = &wire.DoorView{}
+			d = &wire.AdmissionView{}
 		}
 		fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%.0f s\t%.1f s\t%.1f\t%.1f\t%.1f\t%d\n", o.Node, o.Healthy, o.Leading, o.Token, o.LedS, o.StateSilentS,
 			d.Changes, d.Wanted, d.Admitted, d.Refused)
@@ -221,14 +221,14 @@
 			m.Running, m.Fetching, m.Waiting, m.Saving, m.Room)
 		fmt.Fprintf(w, "\nTEAM\tCPUS\tGUARANTEE\tLIMIT\tGPUS\tGUARANTEE\tLIMIT\n")
 		for _, t := range o.Teams {
-			fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%g\t%s\t%s\n", t.Name, t.CPUs, none(t.GuaranteedCPUs), none(t.MostCPUs), t.GPUs, none(t.GuaranteedGPUs), none(t.MostGPUs))
+			fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%g\t%s\t%s\n", t.Name, t.CPUs, none(t.GuaranteedCPUs), none(t.MaxCPUs), t.GPUs, none(t.GuaranteedGPUs), none(t.MaxGPUs))
 		}
 		fmt.Fprintf(w, "\nCLASS\tTEAM\tJOBS\tWITHIN FLOOR\tTASKS WAITING\tPLACED\n")
 		for _, c := range o.Classes {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\n", c.Class, c.Team, c.Jobs, c.Floor, c.Waiting, c.Placed)
 		}
-		if d := o.Door; d != nil && (d.Ease < 1 || len(d.Shut) > 0) {
-			fmt.Fprintf(w, "\noverload: %.0f%% of what could be taken in is handed out, writes are %.1f s behind, shut: %s\n", 100*d.Ease, d.BehindS, strings.Join(d.Shut, ", "))
+		if d := o.Admission; d != nil && (d.AdmitFraction < 1 || len(d.ClosedClasses) > 0) {
+			fmt.Fprintf(w, "\noverload: %.0f%% of what could be taken in is handed out, writes are %.1f s behind, shut: %s\n", 100*d.AdmitFraction, d.WriteBacklogS, strings.Join(d.ClosedClasses, ", "))
 		}
 		fmt.Fprintf(w, "\n%d jobs, %d waiting with %d tasks, %d at fault themselves\n", o.Jobs.Open, o.Jobs.Waiting, o.Jobs.WaitingTasks, o.Jobs.AtFault)
 		if len(o.Queue) > 0 {
--- a/comments_test.go
+++ b/comments_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// TestComments wants a comment on every package and on every exported function, method of
-// an exported type, type, constant and variable; one on a group is for all in it.
+// TestComments requires a doc comment on every package and on every exported function, method
+// of an exported type, type, constant and variable. A comment on a group covers its members.
 func TestComments(t *testing.T) {
-	packages := map[string]bool{} // directory: whether a file says what it is for
+	packages := map[string]bool{} // by directory: whether a file has a package comment
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -39,11 +39,11 @@
 		}
 	}
 	if len(packages) < 20 {
-		t.Errorf("only %d packages were looked at", len(packages))
+		t.Errorf("only %d packages were checked", len(packages))
 	}
 }
 
-// uncommented lists what is exported from a file without a comment.
+// uncommented lists a file's exported items that have no doc comment.
 func uncommented(f *ast.File) (names []string) {
 	for _, decl := range f.Decls {
 		switch d := decl.(type) {
@@ -60,6 +60,7 @@
 	return names
 }
 
+// uncommentedSpecs is uncommented for the items of one declaration.
 func uncommentedSpecs(d *ast.GenDecl) (names []string) {
 	for _, spec := range d.Specs {
 		switch s := spec.(type) {
@@ -78,7 +79,8 @@
 	return names
 }
 
-// ofInterface reports whether the standard library says what a method does.
+// ofInterface reports whether name is a method of a standard library interface, which
+// documents it.
 func ofInterface(name string) bool {
 	switch name {
 	case "Len", "Less", "Swap", "Push", "Pop", "String", "Error", "Unwrap", "Write", "Read", "Accept", "Close":
@@ -87,6 +89,7 @@
 	return false
 }
 
+// receiverExported reports whether a function has no receiver or one of an exported type.
 func receiverExported(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
--- a/internal/httpx/dial.go
+++ b/internal/httpx/dial.go
@@ -13,29 +13,29 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// pool keeps the open connections to one address.
+// pool holds the idle connections to one address.
 type pool struct {
 	addr string
-	idle []*dialed
+	idle []*outbound
 }
 
-// dialed is a connection that we opened.
-type dialed struct {
-	p     *pool
-	c     gnet.Conn
-	call  *actor.Call
-	timer *actor.Timer
-	idle  *actor.Timer
-	gone  bool
-	spot  *list.Element // among the idle ones, nil while it is in use
-	freed bool          // being closed for want of sockets
+// outbound is a connection that this process opens.
+type outbound struct {
+	pool        *pool
+	conn        gnet.Conn
+	call        *actor.Call
+	callTimer   *actor.Timer
+	idleTimer   *actor.Timer
+	closed      bool
+	idleElement *list.Element // in the list of idle connections; nil while in use
+	evicted     bool          // closed to free its socket
 }
 
 // Call implements actor.Env.
 func (l *Loop) Call(call actor.Call) {
 	if time.Since(l.start)-l.now >= actor.LongPause {
-		// We were paused between the decision and here: another may have
-		// decided otherwise meanwhile.
+		// The process was paused between the decision to call and this point: another
+		// node may have decided otherwise since then.
 		l.After(0, func() {
 			call.Done(actor.Answer{Err: errors.Join(actor.ErrNotSent, errors.New("the process was paused before sending"))})
 		})
@@ -51,24 +51,24 @@
 	for len(p.idle) > 0 && !call.DisableKeepAlive {
 		d := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if d.gone {
+		if d.closed {
 			continue
 		}
-		d.idle.Stop()
-		l.sockets.unpark(d)
+		d.idleTimer.Stop()
+		l.sockets.removeIdle(d)
 		d.call = &call
-		d.timer = l.After(call.Timeout, func() { l.expire(d) })
-		l.send(d)
+		d.callTimer = l.After(call.Timeout, func() { l.timeOut(d) })
+		l.sendRequest(d)
 		return
 	}
-	if !l.sockets.dial(l.now) {
+	if !l.sockets.reserveOutbound(l.now) {
 		l.After(0, func() {
 			call.Done(actor.Answer{Err: errors.Join(actor.ErrNotSent, errors.New("out of sockets"))})
 		})
 		return
 	}
-	d := &dialed{p: p, call: &call}
-	d.timer = l.After(call.Timeout, func() { l.expire(d) })
+	d := &outbound{pool: p, call: &call}
+	d.callTimer = l.After(call.Timeout, func() { l.timeOut(d) })
 	timeout := min(call.Timeout, dialTimeout)
 	go func() {
 		c, err := net.DialTimeout("tcp4", call.Addr, timeout)
@@ -84,71 +84,71 @@
 		if err != nil {
 			_ = l.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 				l.refresh()
-				l.sockets.dialed--
-				l.finish(d, actor.Answer{Err: errors.Join(actor.ErrNotSent, err)})
+				l.sockets.outbound--
+				l.finishCall(d, actor.Answer{Err: errors.Join(actor.ErrNotSent, err)})
 				return nil
 			}))
 		}
 	}()
 }
 
-func (l *Loop) opened(d *dialed) {
-	if d.call == nil { // given up meanwhile; keep the connection for the next call
-		if l.pools[d.p.addr] != d.p {
-			d.gone = true
-			_ = d.c.Close()
+func (l *Loop) outboundOpened(d *outbound) {
+	if d.call == nil { // the call has timed out; keep the connection for the next one
+		if l.pools[d.pool.addr] != d.pool {
+			d.closed = true
+			_ = d.conn.Close()
 			return
 		}
-		l.park(d)
+		l.addIdle(d)
 		return
 	}
-	l.send(d)
+	l.sendRequest(d)
 }
 
-func (l *Loop) send(d *dialed) {
+func (l *Loop) sendRequest(d *outbound) {
 	l.out = AppendRequest(l.out[:0], d.call.Method, d.call.Addr, d.call.Path, d.call.Type, d.call.Body)
-	if _, err := d.c.Write(l.out); err != nil {
-		d.gone = true
-		l.finish(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, err)})
-		_ = d.c.Close()
+	if _, err := d.conn.Write(l.out); err != nil {
+		d.closed = true
+		l.finishCall(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, err)})
+		_ = d.conn.Close()
 	}
 }
 
-func (l *Loop) finish(d *dialed, a actor.Answer) {
+func (l *Loop) finishCall(d *outbound, a actor.Answer) {
 	call := d.call
 	if call == nil {
 		return
 	}
 	d.call = nil
-	d.timer.Stop()
+	d.callTimer.Stop()
 	call.Done(a)
 }
 
-func (l *Loop) expire(d *dialed) {
+func (l *Loop) timeOut(d *outbound) {
 	if d.call == nil {
 		return
 	}
-	if d.c == nil {
-		l.finish(d, actor.Answer{Err: errors.Join(actor.ErrNotSent, errors.New("dial timed out"))})
+	if d.conn == nil {
+		l.finishCall(d, actor.Answer{Err: errors.Join(actor.ErrNotSent, errors.New("dial timed out"))})
 		return
 	}
-	d.gone = true
-	l.finish(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, errors.New("timed out"))})
-	_ = d.c.Close()
+	d.closed = true
+	l.finishCall(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, errors.New("timed out"))})
+	_ = d.conn.Close()
 }
 
-func (l *Loop) park(d *dialed) {
-	d.p.idle = append(d.p.idle, d)
-	l.sockets.park(d)
-	d.idle = l.After(idleDialed, func() {
-		if d.call == nil && !d.gone {
-			d.retire()
+func (l *Loop) addIdle(d *outbound) {
+	d.pool.idle = append(d.pool.idle, d)
+	l.sockets.addIdle(d)
+	d.idleTimer = l.After(outboundIdleTimeout, func() {
+		if d.call == nil && !d.closed {
+			d.closeIdle()
 		}
 	})
 }
 
-// drop takes a connection out of those that wait for a call.
-func (p *pool) drop(d *dialed) {
+// removeIdle removes a connection from the idle ones.
+func (p *pool) removeIdle(d *outbound) {
 	for i, x := range p.idle {
 		if x == d {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
@@ -157,63 +157,63 @@
 	}
 }
 
-// retire closes a connection that nothing is asked on.
-func (d *dialed) retire() {
-	d.gone = true
-	d.idle.Stop()
-	d.p.drop(d)
-	_ = d.c.Close()
+// closeIdle closes a connection that has no call in progress.
+func (d *outbound) closeIdle() {
+	d.closed = true
+	d.idleTimer.Stop()
+	d.pool.removeIdle(d)
+	_ = d.conn.Close()
 }
 
-func (l *Loop) closed(d *dialed, c gnet.Conn) {
-	d.gone = true
-	l.sockets.closed(d)
-	d.idle.Stop()
-	d.p.drop(d)
+func (l *Loop) outboundClosed(d *outbound, c gnet.Conn) {
+	d.closed = true
+	l.sockets.outboundClosed(d)
+	d.idleTimer.Stop()
+	d.pool.removeIdle(d)
 	if d.call != nil {
 		if b, err := c.Peek(c.InboundBuffered()); err == nil && len(b) > 0 {
 			if st, body, _, n, err := ParseResponse(b, true); err == nil && n > 0 {
-				l.finish(d, actor.Answer{Status: st, Body: body})
+				l.finishCall(d, actor.Answer{Status: st, Body: body})
 				return
 			}
 		}
-		l.finish(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, errors.New("connection closed"))})
+		l.finishCall(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, errors.New("connection closed"))})
 	}
 }
 
-func (l *Loop) answer(d *dialed, c gnet.Conn, eof bool) gnet.Action {
-	if d.gone {
+func (l *Loop) handleResponse(d *outbound, c gnet.Conn, eof bool) gnet.Action {
+	if d.closed {
 		return gnet.Close
 	}
 	b, err := c.Peek(c.InboundBuffered())
 	if err != nil {
 		return gnet.Close
 	}
-	if d.call == nil { // nothing was asked
+	if d.call == nil { // an answer without a request
 		return gnet.Close
 	}
 	st, body, closing, n, err := ParseResponse(b, eof)
 	if err != nil {
-		d.gone = true
-		l.finish(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, err)})
+		d.closed = true
+		l.finishCall(d, actor.Answer{Err: errors.Join(actor.ErrNoAnswer, err)})
 		return gnet.Close
 	}
 	if n == 0 {
 		return gnet.None
 	}
-	// The answer is copied: the continuation may send on this connection.
+	// The body is copied because Done may send another request on this connection.
 	body = append([]byte(nil), body...)
 	_, _ = c.Discard(n)
 	if closing || d.call.DisableKeepAlive {
-		d.gone = true
+		d.closed = true
 	} else {
 		call := d.call
 		d.call = nil
-		d.timer.Stop()
-		l.park(d)
+		d.callTimer.Stop()
+		l.addIdle(d)
 		call.Done(actor.Answer{Status: st, Body: body})
 		return gnet.None
 	}
-	l.finish(d, actor.Answer{Status: st, Body: body})
+	l.finishCall(d, actor.Answer{Status: st, Body: body})
 	return gnet.Close
 }
--- a/internal/httpx/loop.go
+++ b/internal/httpx/loop.go
@@ -15,17 +15,17 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// Handler answers requests. It runs on the loop and must not block; reply may
-// be called later, once, from the loop.
+// Handler answers requests. It runs on the loop and must not block. It calls reply once, on
+// the loop, either within Serve or later.
 type Handler interface {
 	Serve(r *Request, peer bool, reply func(Response))
-	// Paused hears that the process was paused, before anything else happens.
+	// Paused is called first after the process was paused, before any other event.
 	Paused(gap time.Duration)
 }
 
-// Loop is one gnet event loop that runs everything a process does: it accepts
-// users and workers, dials the cloud, the state service, workers and peers,
-// and fires the timers. It is the Env of the process's actors.
+// Loop is the single gnet event loop of a process. It accepts connections of users, workers
+// and peers, connects to the cloud, the state service, workers and peers, and runs the
+// timers. It implements actor.Env for the process's actors.
 type Loop struct {
 	gnet.BuiltinEventEngine
 	bind, peerBind string
@@ -48,19 +48,19 @@
 }
 
 const (
-	tick        = 10 * time.Millisecond
-	dialTimeout = 1500 * time.Millisecond
-	// A connection that does not complete its request in this time is closed.
-	slowRequest = 10 * time.Second
-	// Idle connections of users and workers are kept this long.
-	idleServed = 90 * time.Second
-	idleDialed = 30 * time.Second
+	tickInterval = 10 * time.Millisecond
+	dialTimeout  = 1500 * time.Millisecond
+	// A connection with an incomplete request is closed if no more of it arrives in this time.
+	requestTimeout = 10 * time.Second
+	// Idle connections are closed after this time.
+	inboundIdleTimeout  = 90 * time.Second
+	outboundIdleTimeout = 30 * time.Second
 )
 
-// NewLoop prepares a loop that listens on the two addresses. most is how many
-// sockets the process may have, 0: as many as it likes.
-func NewLoop(bind, peerBind string, most int, seed uint64, log *slog.Logger) *Loop {
-	return &Loop{bind: bind, peerBind: peerBind, sockets: newSockets(most, log), log: log,
+// NewLoop prepares a loop that listens on the two addresses. maxSockets limits the sockets
+// of the process; 0 means no limit.
+func NewLoop(bind, peerBind string, maxSockets int, seed uint64, log *slog.Logger) *Loop {
+	return &Loop{bind: bind, peerBind: peerBind, sockets: newSockets(maxSockets, log), log: log,
 		rng: rand.New(rand.NewPCG(seed, uint64(time.Now().UnixNano()))), start: time.Now(),
 		pools: map[string]*pool{}, booted: make(chan struct{})}
 }
@@ -80,8 +80,8 @@
 // After implements actor.Env.
 func (l *Loop) After(d time.Duration, f func()) *actor.Timer { return l.timers.Add(l.now+d, f) }
 
-// refresh is called before anything that came from outside is handled: what a
-// process decided before it was paused must not go on as if nothing had been.
+// refresh updates the clock before any external event is handled. After a pause it calls
+// the handler's Paused first, so that decisions from before the pause are dropped.
 func (l *Loop) refresh() {
 	gap := time.Since(l.start) - l.now
 	l.now += gap
@@ -90,22 +90,24 @@
 	}
 }
 
-type quiet struct{ log *slog.Logger }
+// gnetLogger writes gnet's warnings and errors to the process's log at level debug, and its
+// fatal errors at level error.
+type gnetLogger struct{ log *slog.Logger }
 
-func (q quiet) Debugf(f string, a ...any) {}
-func (q quiet) Infof(f string, a ...any)  {}
-func (q quiet) Warnf(f string, a ...any)  { q.log.Debug("gnet: " + fmt.Sprintf(f, a...)) }
-func (q quiet) Errorf(f string, a ...any) { q.log.Debug("gnet: " + fmt.Sprintf(f, a...)) }
-func (q quiet) Fatalf(f string, a ...any) { q.log.Error("gnet: " + fmt.Sprintf(f, a...)) }
+func (q gnetLogger) Debugf(f string, a ...any) {}
+func (q gnetLogger) Infof(f string, a ...any)  {}
+func (q gnetLogger) Warnf(f string, a ...any)  { q.log.Debug("gnet: " + fmt.Sprintf(f, a...)) }
+func (q gnetLogger) Errorf(f string, a ...any) { q.log.Debug("gnet: " + fmt.Sprintf(f, a...)) }
+func (q gnetLogger) Fatalf(f string, a ...any) { q.log.Error("gnet: " + fmt.Sprintf(f, a...)) }
 
-var _ logging.Logger = quiet{}
+var _ logging.Logger = gnetLogger{}
 
-// Run serves until ctx ends. boot runs on the loop once it is up.
+// Run serves until ctx ends. boot runs on the loop as soon as the loop is running.
 func (l *Loop) Run(ctx context.Context, h Handler, boot func()) error {
 	l.handler, l.boot = h, boot
 	go func() {
-		// The loop that owns everything is learnt from a connection to
-		// ourselves: gnet gives no other handle to run code on its loop.
+		// The process connects to itself, because gnet offers the event loop, which is
+		// needed to run code on it, only through a connection.
 		<-l.booted
 		for ctx.Err() == nil {
 			c, err := net.DialTimeout("tcp4", l.bind, dialTimeout)
@@ -121,7 +123,7 @@
 	go func() {
 		errc <- gnet.Rotate(l, []string{"tcp4://" + l.bind, "tcp4://" + l.peerBind},
 			gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true), gnet.WithTicker(true),
-			gnet.WithReadBufferCap(16<<10), gnet.WithWriteBufferCap(16<<10), gnet.WithLogger(quiet{l.log}))
+			gnet.WithReadBufferCap(16<<10), gnet.WithWriteBufferCap(16<<10), gnet.WithLogger(gnetLogger{l.log}))
 	}()
 	select {
 	case err := <-errc:
@@ -141,7 +143,8 @@
 	return gnet.None
 }
 
-// OnTick runs on gnet's ticker goroutine and hands over to the loop.
+// OnTick implements gnet.EventHandler. It runs on gnet's ticker goroutine and schedules the
+// timers on the loop.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
 	l.tickMu.Lock()
 	defer l.tickMu.Unlock()
@@ -156,20 +159,21 @@
 			return nil
 		}))
 	}
-	return tick, gnet.None
+	return tickInterval, gnet.None
 }
 
+// selfConn marks the process's connection to itself.
 type selfConn struct{}
 
-// served is a connection that somebody opened to us.
-type served struct {
-	l        *Loop
-	c        gnet.Conn
-	peer     bool
-	gone     bool
-	busy     bool
-	closing  bool
-	deadline *actor.Timer
+// inbound is a connection that another process opened.
+type inbound struct {
+	loop       *Loop
+	conn       gnet.Conn
+	peer       bool
+	closed     bool
+	busy       bool
+	closing    bool
+	closeTimer *actor.Timer
 }
 
 // OnOpen implements gnet.EventHandler.
@@ -184,27 +188,28 @@
 		if first {
 			l.boot()
 		}
-	case *dialed:
-		x.c = c
-		l.opened(x)
+	case *outbound:
+		x.conn = c
+		l.outboundOpened(x)
 	default:
-		s := &served{l: l, c: c, peer: c.LocalAddr().String() == l.peerBind}
+		s := &inbound{loop: l, conn: c, peer: c.LocalAddr().String() == l.peerBind}
 		c.SetContext(s)
-		if !l.sockets.accepted(l.now) {
-			// Out of sockets: answer at once rather than starve our own calls.
+		if !l.sockets.acceptInbound(l.now) {
+			// Out of sockets: refuse the connection to keep sockets for outbound calls.
 			l.out = AppendResponse(l.out[:0], Response{Status: 503, RetryAfter: 2, Close: true})
 			return append([]byte(nil), l.out...), gnet.Close
 		}
-		s.arm(idleServed)
+		s.closeAfter(inboundIdleTimeout)
 	}
 	return nil, gnet.None
 }
 
-func (s *served) arm(d time.Duration) {
-	s.deadline.Stop()
-	s.deadline = s.l.After(d, func() {
-		if !s.gone {
-			_ = s.c.Close()
+// closeAfter closes the connection after d, unless it is called again before.
+func (s *inbound) closeAfter(d time.Duration) {
+	s.closeTimer.Stop()
+	s.closeTimer = s.loop.After(d, func() {
+		if !s.closed {
+			_ = s.conn.Close()
 		}
 	})
 }
@@ -213,12 +218,12 @@
 func (l *Loop) OnClose(c gnet.Conn, err error) gnet.Action {
 	l.refresh()
 	switch x := c.Context().(type) {
-	case *served:
-		x.gone = true
-		x.deadline.Stop()
-		l.sockets.served--
-	case *dialed:
-		l.closed(x, c)
+	case *inbound:
+		x.closed = true
+		x.closeTimer.Stop()
+		l.sockets.inbound--
+	case *outbound:
+		l.outboundClosed(x, c)
 	}
 	return gnet.None
 }
@@ -227,23 +232,23 @@
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
 	l.refresh()
 	switch x := c.Context().(type) {
-	case *served:
-		return x.traffic()
-	case *dialed:
-		return l.answer(x, c, false)
+	case *inbound:
+		return x.handleRequests()
+	case *outbound:
+		return l.handleResponse(x, c, false)
 	default:
 		_, _ = c.Discard(-1)
 	}
 	return gnet.None
 }
 
-func (s *served) traffic() gnet.Action {
-	for !s.busy && !s.gone {
-		n := s.c.InboundBuffered()
+func (s *inbound) handleRequests() gnet.Action {
+	for !s.busy && !s.closed {
+		n := s.conn.InboundBuffered()
 		if n == 0 {
 			return gnet.None
 		}
-		b, err := s.c.Peek(n)
+		b, err := s.conn.Peek(n)
 		if err != nil {
 			return gnet.Close
 		}
@@ -254,7 +259,7 @@
 			return gnet.Close
 		}
 		if used == 0 {
-			s.arm(slowRequest)
+			s.closeAfter(requestTimeout)
 			return gnet.None
 		}
 		s.busy = true
@@ -262,8 +267,8 @@
 		answered := false
 		inline := true
 		closeNow := false
-		s.l.handler.Serve(&r, s.peer, func(resp Response) {
-			if answered || s.gone {
+		s.loop.handler.Serve(&r, s.peer, func(resp Response) {
+			if answered || s.closed {
 				answered = true
 				return
 			}
@@ -273,22 +278,22 @@
 				resp.Close = true
 			}
 			s.write(resp)
-			s.arm(idleServed)
+			s.closeAfter(inboundIdleTimeout)
 			if inline {
 				closeNow = resp.Close
 			} else if resp.Close {
-				_ = s.c.Close()
-			} else if s.c.InboundBuffered() > 0 {
-				if s.traffic() == gnet.Close {
-					_ = s.c.Close()
+				_ = s.conn.Close()
+			} else if s.conn.InboundBuffered() > 0 {
+				if s.handleRequests() == gnet.Close {
+					_ = s.conn.Close()
 				}
 			}
 		})
 		inline = false
-		if s.gone {
+		if s.closed {
 			return gnet.None
 		}
-		_, _ = s.c.Discard(used)
+		_, _ = s.conn.Discard(used)
 		if closeNow {
 			return gnet.Close
 		}
@@ -296,7 +301,7 @@
 	return gnet.None
 }
 
-func (s *served) write(r Response) {
-	s.l.out = AppendResponse(s.l.out[:0], r)
-	_, _ = s.c.Write(s.l.out)
+func (s *inbound) write(r Response) {
+	s.loop.out = AppendResponse(s.loop.out[:0], r)
+	_, _ = s.conn.Write(s.loop.out)
 }
--- a/internal/httpx/loop_test.go
+++ b/internal/httpx/loop_test.go
@@ -15,6 +15,8 @@
 	"brooklb/internal/actor"
 )
 
+// echo is a handler whose answers repeat the request; some paths make calls or delay the
+// answer.
 type echo struct {
 	l *Loop
 }
@@ -24,7 +26,7 @@
 	switch r.Path {
 	case "/later":
 		e.l.After(30*time.Millisecond, func() { reply(Response{Status: 200, Body: []byte(body)}) })
-	case "/call": // calls ourselves
+	case "/call": // calls the loop's own address
 		e.l.Call(actor.Call{Addr: e.l.bind, Method: "POST", Path: "/later", Body: []byte("x"), Timeout: time.Second, Done: func(a actor.Answer) {
 			reply(Response{Status: a.Status, Body: a.Body})
 		}})
@@ -60,9 +62,9 @@
 	case err := <-ended:
 		t.Fatal(err)
 	case <-time.After(5 * time.Second):
-		t.Fatal("not up after 5 s")
+		t.Fatal("the loop has not started after 5 s")
 	}
-	// The standard library's client is the other side: keep-alive included.
+	// The standard library's client covers keep-alive connections as well.
 	c := &http.Client{Timeout: 3 * time.Second}
 	get := func(url, body, want string) {
 		t.Helper()
@@ -100,15 +102,15 @@
 		return line
 	}
 	if got := raw("GET /x HT", "TP/1.1\r\nHo", "st: a\r\n\r\n"); !strings.Contains(got, " 200 ") {
-		t.Errorf("in pieces: %q", got)
+		t.Errorf("a request in three writes: %q", got)
 	}
 	if got := raw("nonsense\r\n\r\n"); !strings.Contains(got, " 400 ") {
 		t.Errorf("nonsense: %q", got)
 	}
 	if got := raw("POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n"); !strings.Contains(got, " 400 ") {
-		t.Errorf("too large, of which nothing was sent yet: %q", got)
+		t.Errorf("too large a body, refused before it is sent: %q", got)
 	}
-	// Beyond the limit of connections the answer is at once, and final.
+	// Connections above the limit are refused immediately.
 	var open []net.Conn
 	last := ""
 	for i := 0; i < 12 && last == ""; i++ {
--- a/internal/httpx/once_test.go
+++ b/internal/httpx/once_test.go
@@ -15,8 +15,9 @@
 	"brooklb/internal/actor"
 )
 
-// once runs a loop and makes calls on its thread, one after the other.
-func once(t testing.TB, calls int, call actor.Call) (last actor.Answer) {
+// runCalls runs a loop and makes calls on its thread, one after the other. It returns the
+// last answer.
+func runCalls(t testing.TB, calls int, call actor.Call) (last actor.Answer) {
 	addr := func() string {
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -36,7 +37,7 @@
 		c.Done = func(a actor.Answer) {
 			if n++; n == calls {
 				if len(l.pools) > 0 {
-					t.Errorf("%d pools are kept for calls on connections of their own", len(l.pools))
+					t.Errorf("%d pools are kept for calls that don't reuse connections", len(l.pools))
 				}
 				done <- a
 				return
@@ -49,13 +50,13 @@
 	select {
 	case last = <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("no end after a minute")
+		t.Fatal("the calls have not ended after a minute")
 	}
 	return last
 }
 
-// TestOnce guards checks of services: each has a connection of its own, which is
-// closed, and a host that refuses one is told from one that can't be reached.
+// TestOnce checks calls with Once set, which health checks use: each call opens and closes
+// its own connection, and a refused connection is reported as actor.ErrRefused.
 func TestOnce(t *testing.T) {
 	open := make(chan http.ConnState, 100)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(204) }))
@@ -66,7 +67,7 @@
 	}
 	s.Start()
 	defer s.Close()
-	a := once(t, 3, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
+	a := runCalls(t, 3, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
 	if a.Err != nil || a.Status != 204 {
 		t.Errorf("%+v", a)
 	}
@@ -86,14 +87,14 @@
 	if new != 3 {
 		t.Errorf("%d connections for 3 calls", new)
 	}
-	a = once(t, 1, actor.Call{Addr: "127.0.0.1:1", Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
+	a = runCalls(t, 1, actor.Call{Addr: "127.0.0.1:1", Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
 	if !a.Unsent() || !errors.Is(a.Err, actor.ErrRefused) {
-		t.Errorf("a closed port: %v", a.Err)
+		t.Errorf("call to a closed port: %v", a.Err)
 	}
 }
 
-// BenchmarkOnce measures a call on a connection of its own; the other side, in the
-// same process, is part of it.
+// BenchmarkOnce measures a call on its own connection. The figures include the server, which
+// runs in the same process.
 func BenchmarkOnce(b *testing.B) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(200) }))
 	defer s.Close()
@@ -107,5 +108,5 @@
 	}
 	before := cpu()
 	defer func() { b.ReportMetric((cpu()-before)/float64(b.N), "cpu-us/call") }()
-	once(b, b.N, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
+	runCalls(b, b.N, actor.Call{Addr: strings.TrimPrefix(s.URL, "http://"), Method: "GET", Path: "/", DisableKeepAlive: true, Timeout: time.Second})
 }
--- a/internal/httpx/parser.go
+++ b/internal/httpx/parser.go
@@ -1,5 +1,5 @@
-// Package httpx is the project's own HTTP/1.1: a parser with bounded reads,
-// and a server and a client that share one gnet event loop.
+// Package httpx implements HTTP/1.1: a parser with bounded reads, and a server and a client
+// that share one gnet event loop.
 package httpx
 
 import (
@@ -9,26 +9,26 @@
 )
 
 const (
-	maxHead    = 8 << 10
-	maxReqBody = 64 << 10
-	// Answers of the state service and the cloud can be long: pages go up to
-	// 512 KiB, and watches have no size limit.
-	maxAnsBody = 16 << 20
+	maxHeaderBytes = 8 << 10
+	maxRequestBody = 64 << 10
+	// Responses of the state service and the cloud can be long: a page has up to 512 KiB,
+	// and an answer to a watch has no size limit.
+	maxResponseBody = 16 << 20
 )
 
 var (
-	errBroken = errors.New("broken HTTP")
-	errLarge  = errors.New("body too large")
+	errMalformed    = errors.New("broken HTTP")
+	errBodyTooLarge = errors.New("body too large")
 )
 
-// Request is one parsed request. Body is only valid until the handler returns.
+// Request is one parsed request. Body is valid only until the handler returns.
 type Request struct {
 	Method, Path, Query string
 	Body                []byte
 	Close               bool
 }
 
-// Response is what a handler answers.
+// Response is a handler's answer.
 type Response struct {
 	Status     int
 	Body       []byte
@@ -43,9 +43,9 @@
 	close bool
 }
 
-// parse looks for one complete message at the start of b. It returns n == 0
-// while more bytes are needed. For answers to a request (response true), a
-// message without a length ends with the connection (eof).
+// parse parses one complete message at the start of b. It returns the number of bytes used,
+// or 0 while more bytes are needed. A response without a length ends with the connection
+// (eof).
 func parse(b []byte, response, eof bool, limit int) (message, int, error) {
 	var m message
 	skip := 0
@@ -54,14 +54,14 @@
 			skip++
 		}
 		if skip > 64 {
-			return m, 0, errBroken
+			return m, 0, errMalformed
 		}
 	}
 	h := b[skip:]
-	end := bytes.Index(h[:min(len(h), maxHead+4)], []byte("\r\n\r\n"))
+	end := bytes.Index(h[:min(len(h), maxHeaderBytes+4)], []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(h) > maxHead {
-			return m, 0, errBroken
+		if len(h) > maxHeaderBytes {
+			return m, 0, errMalformed
 		}
 		return m, 0, nil
 	}
@@ -87,19 +87,19 @@
 		l = bytes.TrimSuffix(l, []byte("\r"))
 		c := bytes.IndexByte(l, ':')
 		if c <= 0 || l[c-1] == ' ' || l[0] == ' ' || l[0] == '\t' {
-			return m, 0, errBroken
+			return m, 0, errMalformed
 		}
 		name, val := l[:c], bytes.TrimSpace(l[c+1:])
 		switch {
 		case equalFold(name, "content-length"):
 			n, err := strconv.ParseUint(string(val), 10, 62)
 			if err != nil || (length >= 0 && length != int(n)) {
-				return m, 0, errBroken
+				return m, 0, errMalformed
 			}
 			length = int(n)
 		case equalFold(name, "transfer-encoding"):
 			if !equalFold(val, "chunked") {
-				return m, 0, errBroken
+				return m, 0, errMalformed
 			}
 			chunked = true
 		case equalFold(name, "connection"):
@@ -111,7 +111,7 @@
 		}
 	}
 	if chunked && length >= 0 {
-		return m, 0, errBroken // two lengths: a smuggler's trick
+		return m, 0, errMalformed // two lengths allow request smuggling
 	}
 	if chunked {
 		body, n, err := parseChunks(rest, limit)
@@ -124,7 +124,7 @@
 	if length < 0 && response && !noBody(m.line) {
 		if !eof {
 			if len(rest) > limit {
-				return m, 0, errLarge
+				return m, 0, errBodyTooLarge
 			}
 			return m, 0, nil
 		}
@@ -132,7 +132,7 @@
 		return m, used + len(rest), nil
 	}
 	if length > limit {
-		return m, 0, errLarge
+		return m, 0, errBodyTooLarge
 	}
 	if length > 0 {
 		if len(rest) < length {
@@ -155,7 +155,7 @@
 		i := bytes.Index(b[used:min(len(b), used+1024)], []byte("\r\n"))
 		if i < 0 {
 			if len(b)-used >= 1024 {
-				return nil, 0, errBroken
+				return nil, 0, errMalformed
 			}
 			return nil, 0, nil
 		}
@@ -165,19 +165,19 @@
 		}
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 		if err != nil {
-			return nil, 0, errBroken
+			return nil, 0, errMalformed
 		}
 		if len(body)+int(n) > limit {
-			return nil, 0, errLarge
+			return nil, 0, errBodyTooLarge
 		}
 		used += i + 2
 		if n == 0 {
 			// Trailers until an empty line.
 			for {
-				j := bytes.Index(b[used:min(len(b), used+maxHead)], []byte("\r\n"))
+				j := bytes.Index(b[used:min(len(b), used+maxHeaderBytes)], []byte("\r\n"))
 				if j < 0 {
-					if len(b)-used >= maxHead {
-						return nil, 0, errBroken
+					if len(b)-used >= maxHeaderBytes {
+						return nil, 0, errMalformed
 					}
 					return nil, 0, nil
 				}
@@ -193,7 +193,7 @@
 		body = append(body, b[used:used+int(n)]...)
 		used += int(n)
 		if b[used] != '\r' || b[used+1] != '\n' {
-			return nil, 0, errBroken
+			return nil, 0, errMalformed
 		}
 		used += 2
 	}
@@ -215,21 +215,21 @@
 	return true
 }
 
-// ParseRequest parses one request at the start of b. It returns 0 while more
-// is needed; a body above the limit is an error before it has been read.
+// ParseRequest parses one request at the start of b. It returns the number of bytes used, or
+// 0 while more are needed. A body above the limit is an error before it has been read.
 func ParseRequest(b []byte) (Request, int, error) {
-	m, n, err := parse(b, false, false, maxReqBody)
+	m, n, err := parse(b, false, false, maxRequestBody)
 	if err != nil || n == 0 {
 		return Request{}, n, err
 	}
 	p1 := bytes.IndexByte(m.line, ' ')
 	p2 := bytes.LastIndexByte(m.line, ' ')
 	if p1 <= 0 || p2 <= p1+1 || !bytes.HasPrefix(m.line[p2+1:], []byte("HTTP/1.")) {
-		return Request{}, 0, errBroken
+		return Request{}, 0, errMalformed
 	}
 	target := m.line[p1+1 : p2]
 	if target[0] != '/' || bytes.IndexByte(target, ' ') >= 0 {
-		return Request{}, 0, errBroken
+		return Request{}, 0, errMalformed
 	}
 	r := Request{Method: string(m.line[:p1]), Body: m.body, Close: m.close}
 	if q := bytes.IndexByte(target, '?'); q >= 0 {
@@ -240,18 +240,19 @@
 	return r, n, nil
 }
 
-// ParseResponse parses one response at the start of b.
+// ParseResponse parses one response at the start of b. n is the number of bytes used, or 0
+// while more are needed; eof says that the connection has ended.
 func ParseResponse(b []byte, eof bool) (status int, body []byte, closing bool, n int, err error) {
-	m, n, err := parse(b, true, eof, maxAnsBody)
+	m, n, err := parse(b, true, eof, maxResponseBody)
 	if err != nil || n == 0 {
 		return 0, nil, false, n, err
 	}
 	if len(m.line) < 12 || !bytes.HasPrefix(m.line, []byte("HTTP/1.")) {
-		return 0, nil, false, 0, errBroken
+		return 0, nil, false, 0, errMalformed
 	}
 	status, err = strconv.Atoi(string(m.line[9:12]))
 	if err != nil || status < 100 {
-		return 0, nil, false, 0, errBroken
+		return 0, nil, false, 0, errMalformed
 	}
 	return status, m.body, m.close, n, nil
 }
@@ -260,7 +261,7 @@
 	405: "Method Not Allowed", 409: "Conflict", 421: "Misdirected Request", 422: "Unprocessable Entity",
 	429: "Too Many Requests", 503: "Service Unavailable"}
 
-// AppendResponse writes a response in wire form.
+// AppendResponse appends an encoded response to b.
 func AppendResponse(b []byte, r Response) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
@@ -284,7 +285,7 @@
 	return append(b, r.Body...)
 }
 
-// AppendRequest writes a request in wire form.
+// AppendRequest appends an encoded request to b.
 func AppendRequest(b []byte, method, host, path, typ string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/httpx/parser_test.go
+++ b/internal/httpx/parser_test.go
@@ -9,7 +9,7 @@
 	whole := "POST /v2/runs?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhello"
 	for n := 0; n < len(whole); n++ {
 		if _, used, err := ParseRequest([]byte(whole[:n])); used != 0 || err != nil {
-			t.Fatalf("a part of %d bytes gave %d, %v", n, used, err)
+			t.Fatalf("a prefix of %d bytes gave %d, %v", n, used, err)
 		}
 	}
 	r, n, err := ParseRequest([]byte(whole + "GET /"))
@@ -33,7 +33,7 @@
 		"GET /" + strings.Repeat("a", 9000),
 	} {
 		if _, _, err := ParseRequest([]byte(s)); err == nil {
-			t.Errorf("%.40q was taken", s)
+			t.Errorf("%.40q was accepted", s)
 		}
 	}
 }
@@ -44,10 +44,10 @@
 	if err != nil || st != 503 || string(body) != `{"error":"x"}` || !closing || n != len(b) || !strings.Contains(string(b), "Retry-After: 2\r\n") {
 		t.Fatalf("%d %q %v %d %v", st, body, closing, n, err)
 	}
-	// Without a length the end of the connection ends the answer.
+	// A response without a length ends with the connection.
 	raw := []byte("HTTP/1.1 200 OK\r\n\r\nabc")
 	if _, _, _, n, err := ParseResponse(raw, false); n != 0 || err != nil {
-		t.Fatal("an answer without length ended early")
+		t.Fatal("a response without a length ended early")
 	}
 	if _, body, _, _, err := ParseResponse(raw, true); err != nil || string(body) != "abc" {
 		t.Fatalf("%q %v", body, err)
@@ -59,7 +59,7 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, n, err := ParseRequest(b)
-		if n < 0 || n > len(b) || (err == nil && n > 0 && (r.Method == "" || r.Path == "" || len(r.Body) > maxReqBody)) {
+		if n < 0 || n > len(b) || (err == nil && n > 0 && (r.Method == "" || r.Path == "" || len(r.Body) > maxRequestBody)) {
 			t.Fatalf("%d of %d, %+v, %v", n, len(b), r, err)
 		}
 	})
--- a/internal/httpx/sockets.go
+++ b/internal/httpx/sockets.go
@@ -7,109 +7,117 @@
 )
 
 const (
-	// Of the sockets so many, or this part, are no connections of the count: two that
-	// listen, the loop's own, the one that it opened to itself, those that are closed but
-	// not gone yet, and those that wait to be accepted.
-	notConns, notConnsPart = 16, 32
-	// For calls of ours a part is kept that nobody who connects to us can take: to the
-	// state service, the cloud and the peers some dozens, to workers in turn what is there.
-	ownPart, ownLeast = 16, 48
-	// retired is how many idle connections of ours are closed at once when sockets are
-	// short: closing takes until the loop's next turn.
-	retired = 8
-	// shortEvery is how often the log says so.
-	shortEvery = 15 * time.Second
+	// reservedSockets, or the limit divided by reservedSocketsDivisor if that is more, are
+	// sockets that the counts leave out: two listeners, the event loop's own descriptors, the
+	// connection that it opens to itself, closed connections that the kernel still holds, and
+	// connections that wait to be accepted.
+	reservedSockets, reservedSocketsDivisor = 16, 32
+	// Inbound connections can't use the outbound reserve. It is the limit divided by
+	// outboundReserveDivisor, and at least minOutboundReserve: calls to the state service, the
+	// cloud and the peers need some dozens, and calls to workers share the rest. Neither
+	// reserve is more than a quarter of the limit.
+	outboundReserveDivisor, minOutboundReserve = 16, 48
+	// evictBatch is how many idle outbound connections are closed together when sockets run
+	// out: a socket is free only after the loop's next iteration.
+	evictBatch = 8
+	// shortageLogInterval is the shortest time between two log lines about a shortage.
+	shortageLogInterval = 15 * time.Second
 )
 
-// sockets counts what the process has open. At the size of a fleet every worker has a
-// connection to us and we one to it, more than there are sockets: connections of ours
-// that wait for the next call are closed first, the one that waits longest before others.
+// sockets counts the process's open connections and keeps them within the limit. In a large
+// cluster, a connection in each direction for every worker would exceed the limit, so idle
+// outbound connections are closed first, the longest idle before others.
 type sockets struct {
-	most           int // 0: no limit
-	served, dialed int
-	closing        int        // of dialed: about to be closed for want of sockets
-	idle           *list.List // of *dialed, the longest idle first
-	log            *slog.Logger
-	told           time.Duration
-	refused        int
+	limit             int // 0: no limit
+	inbound, outbound int
+	closing           int        // outbound connections that are being closed to free sockets
+	idle              *list.List // of *outbound, the longest idle first
+	log               *slog.Logger
+	lastLogged        time.Duration
+	refused           int
 }
 
-func newSockets(most int, log *slog.Logger) *sockets {
-	return &sockets{most: most, idle: list.New(), log: log, told: -shortEvery}
+func newSockets(limit int, log *slog.Logger) *sockets {
+	return &sockets{limit: limit, idle: list.New(), log: log, lastLogged: -shortageLogInterval}
 }
 
-// conns is how many connections there may be.
-func (s *sockets) conns() int {
-	return s.most - min(max(notConns, s.most/notConnsPart), s.most/4)
+// maxConns is the largest number of connections in both directions.
+func (s *sockets) maxConns() int {
+	return s.limit - min(max(reservedSockets, s.limit/reservedSocketsDivisor), s.limit/4)
 }
 
-func (s *sockets) free() int { return s.conns() - s.served - s.dialed + s.closing }
+func (s *sockets) free() int { return s.maxConns() - s.inbound - s.outbound + s.closing }
 
-// own is what nobody who connects to us can take.
-func (s *sockets) own() int { return max(s.most/ownPart, min(ownLeast, s.most/4)) }
+// reservedOutbound is how many connections inbound ones can't use.
+func (s *sockets) reservedOutbound() int {
+	return max(s.limit/outboundReserveDivisor, min(minOutboundReserve, s.limit/4))
+}
 
-// accepted counts a connection that was opened to us; false: it has to be closed.
-func (s *sockets) accepted(now time.Duration) bool {
-	s.served++
-	if s.most <= 0 {
+// acceptInbound counts an inbound connection. It returns false if the connection has to be
+// closed.
+func (s *sockets) acceptInbound(now time.Duration) bool {
+	s.inbound++
+	if s.limit <= 0 {
 		return true
 	}
 	if s.free() < 0 {
-		s.retire()
+		s.evictIdle()
 	}
-	if s.served <= s.conns()-s.own() && s.free()+s.idle.Len() >= 0 {
+	if s.inbound <= s.maxConns()-s.reservedOutbound() && s.free()+s.idle.Len() >= 0 {
 		return true
 	}
-	s.short(now)
+	s.logShortage(now)
 	return false
 }
 
-// dial counts a connection that we want to open; false: there is no socket for it.
-func (s *sockets) dial(now time.Duration) bool {
-	if s.most > 0 && s.free() < 1 && !s.retire() {
-		s.short(now)
+// reserveOutbound counts an outbound connection that is about to be opened. It returns false
+// if there is no socket for it.
+func (s *sockets) reserveOutbound(now time.Duration) bool {
+	if s.limit > 0 && s.free() < 1 && !s.evictIdle() {
+		s.logShortage(now)
 		return false
 	}
-	s.dialed++
+	s.outbound++
 	return true
 }
 
-// retire closes connections of ours that wait for a call; false if there are none.
-func (s *sockets) retire() bool {
+// evictIdle closes idle outbound connections. It returns false if there are none.
+func (s *sockets) evictIdle() bool {
 	n := 0
-	for ; n < retired && s.idle.Len() > 0; n++ {
-		d := s.idle.Front().Value.(*dialed)
-		s.unpark(d)
-		d.freed = true
+	for ; n < evictBatch && s.idle.Len() > 0; n++ {
+		d := s.idle.Front().Value.(*outbound)
+		s.removeIdle(d)
+		d.evicted = true
 		s.closing++
-		d.retire()
+		d.closeIdle()
 	}
 	return n > 0
 }
 
-// short says in the log that there are too few sockets.
-func (s *sockets) short(now time.Duration) {
+// logShortage counts a refused connection, and logs the shortage at most once in
+// shortageLogInterval.
+func (s *sockets) logShortage(now time.Duration) {
 	s.refused++
-	if now-s.told >= shortEvery {
-		s.told = now
-		s.log.Info("out of sockets, connections are refused", "limit", s.most, "opened_to_us", s.served, "by_us", s.dialed, "refused", s.refused)
+	if now-s.lastLogged >= shortageLogInterval {
+		s.lastLogged = now
+		s.log.Info("out of sockets, connections are refused", "limit", s.limit, "opened_to_us", s.inbound, "by_us", s.outbound, "refused", s.refused)
 	}
 }
 
-// closed counts a connection of ours that is gone.
-func (s *sockets) closed(d *dialed) {
-	s.unpark(d)
-	s.dialed--
-	if d.freed {
+// outboundClosed removes a closed outbound connection from the counts.
+func (s *sockets) outboundClosed(d *outbound) {
+	s.removeIdle(d)
+	s.outbound--
+	if d.evicted {
 		s.closing--
 	}
 }
 
-func (s *sockets) park(d *dialed) { d.spot = s.idle.PushBack(d) }
+func (s *sockets) addIdle(d *outbound) { d.idleElement = s.idle.PushBack(d) }
 
-func (s *sockets) unpark(d *dialed) {
-	if d.spot != nil {
-		s.idle.Remove(d.spot)
-		d.spot = nil
+func (s *sockets) removeIdle(d *outbound) {
+	if d.idleElement != nil {
+		s.idle.Remove(d.idleElement)
+		d.idleElement = nil
 	}
 }
--- a/internal/node/overview.go
+++ b/internal/node/overview.go
@@ -24,14 +24,14 @@
 	if n.store.Synced() {
 		o.StateSilentS = roundToTenth((now - n.store.LastContact()).Seconds())
 	}
-	o.Door = &wire.DoorView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.gate.ArrivalRate(now)), Admitted: roundToTenth(n.gate.AdmissionRate(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
+	o.Admission = &wire.AdmissionView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.gate.ArrivalRate(now)), Admitted: roundToTenth(n.gate.AdmissionRate(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
 	t := n.term
 	if t == nil {
 		return o
 	}
-	o.Door.Ease, o.Door.BehindS = roundToTenth(t.ease), roundToTenth(t.ledger.WriteBacklogS(model.Low))
+	o.Admission.AdmitFraction, o.Admission.WriteBacklogS = roundToTenth(t.ease), roundToTenth(t.ledger.WriteBacklogS(model.Low))
 	for _, k := range t.shut {
-		o.Door.Shut = append(o.Door.Shut, k[1]+" of "+k[0])
+		o.Admission.ClosedClasses = append(o.Admission.ClosedClasses, k[1]+" of "+k[0])
 	}
 	o.Classes = t.classes()
 	o.Leading, o.Token, o.LedS = true, t.token, roundToTenth((now - t.workers.Began()).Seconds())
@@ -40,7 +40,7 @@
 	for _, c := range n.settings.Facts.Teams {
 		u := t.ledger.Teams[c.Name].Used
 		o.Teams = append(o.Teams, wire.TeamView{Name: c.Name, CPUs: u.CPUs, GPUs: u.GPUs, GuaranteedCPUs: c.CPUs, GuaranteedGPUs: c.GPUs,
-			MostCPUs: c.CPUsMax, MostGPUs: c.GPUsMax})
+			MaxCPUs: c.CPUsMax, MaxGPUs: c.GPUsMax})
 	}
 	for _, j := range t.ledger.Order() {
 		if !placement.Waiting(j) {
@@ -54,7 +54,7 @@
 			why = j.WaitReason
 		}
 		o.Queue = append(o.Queue, wire.JobView{Job: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), Done: j.DoneTasks,
-			Placed: j.Placed, AgeS: roundToTenth((now - j.AcceptedAt).Seconds()), Why: why, Last: j.StopReason})
+			Placed: j.Placed, AgeS: roundToTenth((now - j.AcceptedAt).Seconds()), Why: why, LastStopReason: j.StopReason})
 	}
 	return o
 }
--- a/internal/placement/floors.go
+++ b/internal/placement/floors.go
@@ -44,7 +44,7 @@
 // that a new leader computes the same. The unfinished jobs of a waiting class accumulate,
 // so that its minimum share grows until it meets the demand of the smallest of them.
 func (f *MinShares) JobsWithin(l *ledger.Ledger, objectives *Objectives, whole model.Resources, now time.Duration) map[*ledger.Job]bool {
-	if f == nil || f.Most <= 0 {
+	if f == nil || f.FloorFraction <= 0 {
 		return nil
 	}
 	type member struct {
@@ -85,8 +85,8 @@
 		g := groups[k]
 		slices.SortStableFunc(g, func(a, b member) int { return cmp.Compare(a.rank, b.rank) })
 		s := &fair.Share{Key: k}
-		for _, m := range g[:int(math.Ceil(f.Part*float64(len(g))))] {
-			s.Demand += dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks()) * (m.j.EstimateS() + startupS) / f.Over.Seconds()
+		for _, m := range g[:int(math.Ceil(f.FloorJobFraction*float64(len(g))))] {
+			s.Demand += dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks()) * (m.j.EstimateS() + startupS) / f.FloorPeriod.Seconds()
 		}
 		shares[i] = s
 		if topPriority[k] == highest {
@@ -95,8 +95,8 @@
 			rest = append(rest, s)
 		}
 	}
-	fair.ByTeam(f.Most, urgent, f.Weight)
-	fair.ByTeam(f.Most, rest, f.Weight)
+	fair.ByTeam(f.FloorFraction, urgent, f.Weight)
+	fair.ByTeam(f.FloorFraction, rest, f.Weight)
 	in := map[*ledger.Job]bool{}
 	for i, k := range keys {
 		used := 0.0
--- a/internal/rollout/door.go
+++ b/internal/rollout/door.go
@@ -70,7 +70,7 @@
 	case verb == wire.VerbStart:
 		d.start(name, r.Body, reply)
 	case slices.Contains([]string{wire.VerbPause, wire.VerbResume, wire.VerbAbort, wire.VerbWithdraw}, verb):
-		asked, err := wire.DecodeAsked(r.Body)
+		asked, err := wire.DecodeRequestInfo(r.Body)
 		if err != nil {
 			reply(answer.Refuse(400, 0, "%v", err))
 			return true
@@ -212,7 +212,7 @@
 }
 
 // ask changes what a user may change of a roll-out, or ends the service.
-func (d *Door) ask(name, verb string, asked wire.Asked, tries int, reply func(httpx.Response)) {
+func (d *Door) ask(name, verb string, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
 	d.read(name, reply, func(rec *Record, stamp uint64) {
 		if rec == nil {
 			reply(answer.Refuse(404, 0, "no service %s is known", name))
@@ -263,7 +263,7 @@
 	})
 }
 
-func (d *Door) settle(name, verb string, asked wire.Asked, t wire.Txn, c *Record, tries int, reply func(httpx.Response)) {
+func (d *Door) settle(name, verb string, asked wire.RequestInfo, t wire.Txn, c *Record, tries int, reply func(httpx.Response)) {
 	d.commit(t, tries, reply, func() {
 		d.env.Log().Info("roll-out: a user asks", "id", c.id(name), "verb", verb, "by", asked.By, "why", asked.Why)
 		reply(d.tell(name, c))
@@ -277,7 +277,7 @@
 	})
 }
 
-func by(what string, a wire.Asked) string {
+func by(what string, a wire.RequestInfo) string {
 	if a.By != "" {
 		what += " by " + a.By
 	}
@@ -288,7 +288,7 @@
 }
 
 // withdraw ends a service: all its versions, and the roll-out if there is one.
-func (d *Door) withdraw(name string, rec *Record, stamp uint64, asked wire.Asked, tries int, reply func(httpx.Response)) {
+func (d *Door) withdraw(name string, rec *Record, stamp uint64, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
 	if rec.Ended {
 		reply(d.tell(name, rec))
 		return
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -256,7 +256,7 @@
 			v.CheckP50MS = float64(a.check.took.ValueAtQuantile(50)) / 1000
 			v.CheckP99MS = float64(a.check.took.ValueAtQuantile(99)) / 1000
 		}
-		v.EveryS = max(s.rec.New.Check.IntervalS, a.check.every().Seconds())
+		v.CheckEveryS = max(s.rec.New.Check.IntervalS, a.check.every().Seconds())
 	}
 	return v, s.waits
 }
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -14,7 +14,7 @@
 	"github.com/magiconair/properties"
 )
 
-// Options are the operator's own settings, beyond the platform's.
+// Options are the operator's settings, in addition to the platform's.
 type Options struct {
 	Rollouts bool
 	Units    bool
@@ -22,14 +22,14 @@
 	Sharing  *Sharing
 }
 
-// What a probe does that the file doesn't say.
+// Defaults of a probe.
 const (
-	probeEvery = 10 * time.Second
-	probeKeep  = 2 * time.Minute
+	defaultProbeInterval = 10 * time.Second
+	defaultProbeKeep     = 2 * time.Minute
 )
 
-// LoadOptions reads and checks a properties file. An error names the file, the key
-// and the reason in one line.
+// LoadOptions reads and validates a properties file. An error names the file, the key and
+// the reason in one line.
 func LoadOptions(file string) (*Options, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -38,9 +38,9 @@
 	return ParseOptions(file, b)
 }
 
-// ParseOptions is LoadOptions for content at hand; name is used in errors.
+// ParseOptions is like LoadOptions, but takes the content. Errors contain name.
 func ParseOptions(name string, b []byte) (*Options, error) {
-	// No expansion: ${...} in a value would read the process's environment.
+	// Expansion is disabled because ${...} in a value would read the process's environment.
 	loader := &properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	p, err := loader.LoadBytes(b)
 	if err != nil {
@@ -49,7 +49,7 @@
 	o := &Options{Sharing: DefaultSharing()}
 	byName := map[string]*units.Declared{}
 	for _, key := range p.Keys() {
-		v, _ := p.Get(key) // it is one of its keys
+		v, _ := p.Get(key) // the key exists
 		if err := o.set(key, strings.TrimSpace(v), byName); err != nil {
 			return nil, fmt.Errorf("options: %s: %s: %w", name, key, err)
 		}
@@ -70,6 +70,7 @@
 	return o, nil
 }
 
+// set stores the value of one key. byName collects the declared resources.
 func (o *Options) set(key, v string, byName map[string]*units.Declared) error {
 	flag := func(to *bool) (err error) {
 		if *to, err = strconv.ParseBool(v); err != nil {
@@ -90,7 +91,7 @@
 	if !ok {
 		return fmt.Errorf("no such setting")
 	}
-	name, what, _ := strings.Cut(rest, ".")
+	name, setting, _ := strings.Cut(rest, ".")
 	if !units.ValidName(name) {
 		return units.BadName(name)
 	}
@@ -101,13 +102,13 @@
 	}
 	probe := func() *units.Probe {
 		if d.Probe == nil {
-			d.Probe = &units.Probe{Every: probeEvery, Keep: probeKeep, Cautious: -1}
+			d.Probe = &units.Probe{Every: defaultProbeInterval, Keep: defaultProbeKeep, Cautious: -1}
 		}
 		return d.Probe
 	}
-	span := func(to *time.Duration, lo time.Duration) (err error) {
+	duration := func(to *time.Duration, lo time.Duration) (err error) {
 		if *to, err = time.ParseDuration(v); err != nil || *to < lo || *to > 24*time.Hour {
-			return fmt.Errorf("%q is no time from %v to 24h, such as 30s", v, lo)
+			return fmt.Errorf("%q is no time from %v to 24h, for example 30s", v, lo)
 		}
 		return nil
 	}
@@ -117,12 +118,12 @@
 		}
 		return nil
 	}
-	switch what {
+	switch setting {
 	case "count":
 		return number(&d.Count)
 	case "probe":
 		host, path, _ := strings.Cut(v, "/")
-		if err := addr(key, host); err != nil {
+		if err := checkAddr(key, host); err != nil {
 			return fmt.Errorf("%q is not of the form IP:port/path", v)
 		}
 		if _, _, err := net.SplitHostPort(host); err != nil || strings.ContainsAny(path, " \t#") {
@@ -131,9 +132,9 @@
 		probe().Addr, probe().Path = host, "/"+path
 		return nil
 	case "probe.every":
-		return span(&probe().Every, time.Second)
+		return duration(&probe().Every, time.Second)
 	case "probe.keep":
-		return span(&probe().Keep, time.Second)
+		return duration(&probe().Keep, time.Second)
 	case "probe.cautious":
 		if v == "all" {
 			probe().Cautious = -1
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads what the platform hands over and checks it.
+// Package settings reads and validates the platform's settings file and the operator's
+// options file.
 package settings
 
 import (
@@ -13,14 +14,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Peer is another controller.
+// Peer is another controller of the cluster.
 type Peer struct {
 	Label    string `toml:"label"`
 	Location string `toml:"location"`
 	Endpoint string `toml:"endpoint"`
 }
 
-// Team is a team with its guarantee and limit; 0 means none.
+// Team is a team with its guaranteed resources and its limits. 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -29,7 +30,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is one of the operators' aims.
+// Objective is a service-level objective of the operators.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -38,7 +39,7 @@
 	Times   float64 `toml:"times"`
 }
 
-// Settings is the platform's file.
+// Settings is the content of the platform's file.
 type Settings struct {
 	Label         string `toml:"label"`
 	Location      string `toml:"location"`
@@ -80,8 +81,8 @@
 	} `toml:"facts"`
 }
 
-// Load reads and checks the file. Unknown fields are ignored. An error names
-// the file, the field and the reason in one line.
+// Load reads and validates the file. It ignores unknown fields. An error names the file, the
+// field and the reason in one line.
 func Load(file string) (*Settings, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return Parse(file, b)
 }
 
-// Parse is Load for content at hand; name is used in errors.
+// Parse is like Load, but takes the content. Errors contain name.
 func Parse(name string, b []byte) (*Settings, error) {
 	var s Settings
 	if err := Decode(name, b, &s); err != nil {
@@ -102,8 +103,8 @@
 	return &s, nil
 }
 
-// Decode reads TOML into a value. The error names the file, the place, the field and the
-// reason in one line.
+// Decode decodes TOML into a value. The error names the file, the position, the field and
+// the reason in one line.
 func Decode(name string, b []byte, into any) error {
 	err := toml.Unmarshal(b, into)
 	if err == nil {
@@ -114,7 +115,7 @@
 		return fmt.Errorf("%s: %s", name, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	row, col := de.Position()
-	// The library names Go's own types at length.
+	// The library's error names the Go struct and its field; only the type is kept.
 	reason, rest, found := strings.Cut(strings.TrimPrefix(de.Error(), "toml: "), " into struct field")
 	if i := strings.LastIndex(rest, " of type "); found && i >= 0 {
 		reason += " as " + rest[i+len(" of type "):]
@@ -122,7 +123,7 @@
 	return fmt.Errorf("%s:%d:%d: field %s: %s", name, row, col, strings.Join(de.Key(), "."), reason)
 }
 
-func addr(field, v string) error {
+func checkAddr(field, v string) error {
 	if v == "" {
 		return fmt.Errorf("field %s: missing", field)
 	}
@@ -139,7 +140,7 @@
 	return nil
 }
 
-func positive(field string, v float64) error {
+func checkPositive(field string, v float64) error {
 	if !(v > 0) || math.IsInf(v, 0) {
 		return fmt.Errorf("field %s: must be a positive number, is %v", field, v)
 	}
@@ -152,7 +153,7 @@
 	}
 	for _, a := range [][2]string{{"bind", s.Bind}, {"cluster_listen", s.ClusterListen},
 		{"external.cloud", s.External.Cloud}, {"external.state", s.External.State}} {
-		if err := addr(a[0], a[1]); err != nil {
+		if err := checkAddr(a[0], a[1]); err != nil {
 			return err
 		}
 	}
@@ -165,7 +166,7 @@
 			return fmt.Errorf("field peers[%d].label: %q is there twice", i, p.Label)
 		}
 		seen[p.Label] = true
-		if err := addr(fmt.Sprintf("peers[%d].endpoint", i), p.Endpoint); err != nil {
+		if err := checkAddr(fmt.Sprintf("peers[%d].endpoint", i), p.Endpoint); err != nil {
 			return err
 		}
 	}
@@ -185,12 +186,12 @@
 		{"facts.cloud.rps", f.Cloud.RPS}, {"facts.limits.mem_mb", f.Limits.MemMB},
 		{"facts.limits.sockets", float64(f.Limits.Sockets)},
 	} {
-		if err := positive(v.n, v.v); err != nil {
+		if err := checkPositive(v.n, v.v); err != nil {
 			return err
 		}
 	}
-	// Each peer has a connection to us and we one to it, the state service and the cloud
-	// some, and nobody would be served.
+	// There is a connection in each direction for every peer, and there are some to the state
+	// service and the cloud. With fewer sockets none are left for users and workers.
 	if least := 2*len(s.Peers) + 32; f.Limits.Sockets < least {
 		return fmt.Errorf("field facts.limits.sockets: %d are too few with %d peers, at least %d are needed", f.Limits.Sockets, len(s.Peers), least)
 	}
--- a/internal/settings/sharing.go
+++ b/internal/settings/sharing.go
@@ -8,27 +8,30 @@
 	"time"
 )
 
-// Sharing is how teams and classes share what is short.
+// Sharing configures how teams and classes share scarce capacity. A floor is the part of
+// the cluster that is guaranteed to the jobs of a class of a team.
 type Sharing struct {
-	// Floors of what runs: of the cluster so much at most, by all of them together;
-	// 0: no floors.
-	Most float64
-	// Part of a class's unfinished jobs, the smallest, has a floor.
-	Part float64
-	// Over is the time over which the work of these jobs is spread.
-	Over time.Duration
-	// Weights of teams, at the door and for floors; of those that aren't named they
-	// follow from the guarantees.
+	// FloorFraction is the fraction of the cluster that the floors of the classes with the
+	// highest priority may take together, and those of all other classes as well. 0 disables
+	// floors.
+	FloorFraction float64
+	// FloorJobFraction is the fraction of a class's unfinished jobs, smallest first, that the
+	// size of its floor is computed from.
+	FloorJobFraction float64
+	// FloorPeriod is the time in which a floor is meant to complete the work of these jobs.
+	FloorPeriod time.Duration
+	// Weights are the weights of teams in admission and for floors. The weights of teams
+	// that aren't listed follow from their guarantees.
 	Weights map[string]float64
 }
 
-// DefaultSharing serves half of a class's jobs as long as that is possible, and leaves
-// most of the cluster to the order.
+// DefaultSharing returns the defaults: floors for half of each class's jobs, which leave most
+// of the cluster to the normal order of jobs.
 func DefaultSharing() *Sharing {
-	return &Sharing{Most: 0.15, Part: 0.5, Over: 4 * time.Minute}
+	return &Sharing{FloorFraction: 0.15, FloorJobFraction: 0.5, FloorPeriod: 4 * time.Minute}
 }
 
-// Check finds weights of teams that aren't there.
+// Check returns an error if there is a weight for an unknown team.
 func (s *Sharing) Check(teams []Team) error {
 	for name := range s.Weights {
 		if !slices.ContainsFunc(teams, func(t Team) bool { return t.Name == name }) {
@@ -38,18 +41,18 @@
 	return nil
 }
 
-// Weight is how much of what is short a team gets, beside the others: all alike for
-// one half, by their guarantees for the other.
+// Weight returns a function that gives the weight of each team. One half of a default weight
+// is the same for all teams, and the other is proportional to the team's guarantee.
 func (s *Sharing) Weight(teams []Team) func(team string) float64 {
 	w := map[string]float64{}
 	sum := 0.0
 	for _, t := range teams {
-		sum += guarantee(t)
+		sum += teamGuarantee(t)
 	}
 	for _, t := range teams {
 		w[t.Name] = 1
 		if sum > 0 {
-			w[t.Name] = 0.5 + 0.5*float64(len(teams))*guarantee(t)/sum
+			w[t.Name] = 0.5 + 0.5*float64(len(teams))*teamGuarantee(t)/sum
 		}
 	}
 	if s != nil {
@@ -60,14 +63,15 @@
 	return func(team string) float64 { return w[team] }
 }
 
-func guarantee(t Team) float64 {
+// teamGuarantee is the team's guaranteed GPUs or, if it has none, its guaranteed CPUs.
+func teamGuarantee(t Team) float64 {
 	if t.GPUs > 0 {
 		return t.GPUs
 	}
 	return t.CPUs
 }
 
-// set takes in a setting of sharing: floors.* or weight.TEAM.
+// set stores the value of a key floors.* or weight.TEAM.
 func (s *Sharing) set(key, v string) error {
 	number := func(to *float64, lo, hi float64) error {
 		x, err := strconv.ParseFloat(v, 64)
@@ -79,15 +83,15 @@
 	}
 	switch {
 	case key == "floors.most":
-		return number(&s.Most, 0, 0.9)
+		return number(&s.FloorFraction, 0, 0.9)
 	case key == "floors.part":
-		return number(&s.Part, 0.01, 1)
+		return number(&s.FloorJobFraction, 0.01, 1)
 	case key == "floors.over":
 		d, err := time.ParseDuration(v)
 		if err != nil || d < 10*time.Second || d > time.Hour {
-			return fmt.Errorf("%q is no time from 10s to 1h, such as 2m", v)
+			return fmt.Errorf("%q is no time from 10s to 1h, for example 2m", v)
 		}
-		s.Over = d
+		s.FloorPeriod = d
 		return nil
 	case strings.HasPrefix(key, "weight.") && len(key) > len("weight."):
 		var x float64
--- a/internal/sim/restore_test.go
+++ b/internal/sim/restore_test.go
@@ -29,7 +29,7 @@
 		}
 		fs, n := snap.Verify(s, w.cfg.Teams)
 		for _, f := range fs {
-			if f.Maybe {
+			if f.Transient {
 				continue
 			}
 			t.Errorf("seed %d: a live state has %+v", seed, f)
--- a/internal/snapshot/fetch.go
+++ b/internal/snapshot/fetch.go
@@ -9,30 +9,32 @@
 	"brooklb/internal/wire"
 )
 
-// Asker sends a request to the state service. It tries again what is refused for now,
-// and keeps to the rate that it was given.
+// Asker sends requests to the state service. It retries requests that are refused
+// temporarily, and limits their rate.
 type Asker interface {
 	Ask(method, path string, body []byte) (status int, answer []byte, err error)
 }
 
 const (
-	pageKeys = 500
-	// A service that answers so many pages that bring nothing new is not to be trusted.
-	mostRounds = 5
+	keysPerPage = 500
+	// maxFetchAttempts bounds how often Fetch starts again because the service no longer has
+	// the changes since the first page.
+	maxFetchAttempts = 5
 )
 
-// ErrMoving says that the service forgets its changes faster than they are read.
-var ErrMoving = errors.New("the state changes too fast for the rate that was given: raise it")
+// ErrChangesTooFast means that the service discards its history of changes faster than
+// Fetch reads it.
+var ErrChangesTooFast = errors.New("the state changes too fast for the given request rate: raise it")
 
-// Fetch copies all keys at one revision: all pages, and then every change since the
-// first of them, up to a revision that is newer than all that was read.
+// Fetch copies all keys at one revision. It reads all pages and then applies every change
+// since the first page, up to a revision that is not older than any page.
 func Fetch(ask Asker, now func() time.Time) (*Snapshot, error) {
-	for range mostRounds {
-		items, first, newest, err := pages(ask)
+	for range maxFetchAttempts {
+		items, first, newest, err := readPages(ask)
 		if err != nil {
 			return nil, err
 		}
-		epoch, err := follow(ask, items, first, newest)
+		epoch, err := applyChanges(ask, items, first, newest)
 		if errors.Is(err, errTooOld) {
 			continue
 		}
@@ -46,17 +48,17 @@
 		s.sort()
 		return s, nil
 	}
-	return nil, ErrMoving
+	return nil, ErrChangesTooFast
 }
 
 var errTooOld = errors.New("too old")
 
-// pages reads all keys. They are not of one revision: the first and the newest that
-// they may be of are returned.
-func pages(ask Asker) (items map[string]Item, first, newest uint64, err error) {
+// readPages reads all keys. The pages are of different revisions; it returns the revision of
+// the first page and the newest revision of any page.
+func readPages(ask Asker) (items map[string]Item, first, newest uint64, err error) {
 	items = map[string]Item{}
 	for after := ""; ; {
-		path := wire.PathKeys + "?under=" + Prefix + "&most=" + strconv.Itoa(pageKeys)
+		path := wire.PathKeys + "?under=" + Prefix + "&most=" + strconv.Itoa(keysPerPage)
 		if after != "" {
 			path += "&from=" + after
 		}
@@ -65,7 +67,7 @@
 			return nil, 0, 0, err
 		}
 		if status != 200 {
-			return nil, 0, 0, fmt.Errorf("the state service answers %d to a page of keys", status)
+			return nil, 0, 0, fmt.Errorf("the state service answered %d to a request for a page of keys", status)
 		}
 		p, err := wire.DecodePage(b)
 		if err != nil {
@@ -78,7 +80,7 @@
 		last := after
 		for _, it := range p.Items {
 			if it.Path <= after {
-				return nil, 0, 0, fmt.Errorf("the state service answers key %s where only later ones were asked for", it.Path)
+				return nil, 0, 0, fmt.Errorf("the state service returned key %s where only later ones were requested", it.Path)
 			}
 			last = max(last, it.Path)
 			items[it.Path] = Item{it.Path, append([]byte(nil), it.Value...), it.Stamp}
@@ -86,15 +88,16 @@
 		if !p.HasNext {
 			return items, first, newest, nil
 		}
-		if last == after || len(items) > mostKeys {
-			return nil, 0, 0, fmt.Errorf("the state service's pages don't end after key %s", last)
+		if last == after || len(items) > maxKeys {
+			return nil, 0, 0, fmt.Errorf("the state service announces a page after key %s, but returned no new keys or too many", last)
 		}
 		after = last
 	}
 }
 
-// follow brings the keys up to one revision, at least the newest that was seen.
-func follow(ask Asker, items map[string]Item, first, newest uint64) (uint64, error) {
+// applyChanges updates the keys to one revision, which it returns. The revision is newest or
+// a later one.
+func applyChanges(ask Asker, items map[string]Item, first, newest uint64) (uint64, error) {
 	for epoch := first; ; {
 		status, b, err := ask.Ask("GET", wire.PathChanges+"?under="+Prefix+"&from="+strconv.FormatUint(epoch, 10)+"&block_ms=0", nil)
 		if err != nil {
@@ -104,19 +107,20 @@
 			return 0, errTooOld
 		}
 		if status != 200 {
-			return 0, fmt.Errorf("the state service answers %d to a question for changes", status)
+			return 0, fmt.Errorf("the state service answered %d to a request for changes", status)
 		}
-		n, err := wire.DecodeNews(b)
+		n, err := wire.DecodeWatchResponse(b)
 		if err != nil {
 			return 0, err
 		}
-		for _, e := range n.News {
+		for _, e := range n.Events {
 			key := e.Write + e.Delete
 			if it, ok := items[key]; ok && it.Stamp > e.Stamp {
 				continue
 			}
 			if e.Delete != "" {
-				// A later write of the key in this answer has a higher stamp.
+				// A deleted key stays, without a value: the events are in no order, and an
+				// event with a lower stamp must not bring the key back.
 				items[key] = Item{Path: key, Stamp: e.Stamp}
 			} else {
 				items[key] = Item{key, append([]byte(nil), e.Value...), e.Stamp}
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -10,55 +10,56 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// ErrNotEmpty says that there is state already.
+// ErrNotEmpty means that the state service already has a cluster's state.
 var ErrNotEmpty = errors.New("the state service is not empty")
 
-// mark is the restore's own record: how far it has come, and of what.
-type mark struct {
+// restoreProgress is the record of a restore under way: its snapshot and its progress.
+type restoreProgress struct {
 	V    int    `json:"v"`
 	Sum  string `json:"sum"`
-	Next int    `json:"next"` // the first item that is not there yet
+	Next int    `json:"next"` // index of the first item not restored yet
 	All  int    `json:"all"`
 }
 
-// Margin is by how much a restored cluster's tokens and attempts lie above the
-// snapshot's: the old cluster went on after it was taken.
+// Margins by which the tokens and attempts of a restored cluster exceed the snapshot's. The
+// old cluster went on using higher ones after the snapshot.
 const (
 	TokenMargin   = 1_000_000_000
 	AttemptMargin = 1_000_000
 )
 
-// Restore puts a snapshot into a state service that has nothing of a cluster, a few
-// keys at a time; interrupted, it goes on where it was. Nobody leads until it is
-// through (leader.RestoreKey). told hears how far it has come.
-func Restore(ask Asker, s *Snapshot, ops int, told func(done, all int)) error {
-	items, _, _, err := pages(ask)
+// Restore writes a snapshot into an empty state service, with up to ops changes in one
+// transaction. If an earlier call was interrupted, it continues after that call's last write.
+// No controller can become leader before the restore ends (leader.RestoreKey). progress, if
+// not nil, is called after each transaction.
+func Restore(ask Asker, s *Snapshot, ops int, progress func(done, all int)) error {
+	items, _, _, err := readPages(ask)
 	if err != nil {
 		return err
 	}
-	m := mark{V: 1, Sum: s.Sum(), All: len(s.Items)}
+	m := restoreProgress{V: 1, Sum: s.Sum(), All: len(s.Items)}
 	stamp := uint64(0)
 	if it, ok := items[leader.RestoreKey]; ok {
-		var was mark
-		if err := json.Unmarshal(it.Value, &was); err != nil || was.V != 1 {
+		var previous restoreProgress
+		if err := json.Unmarshal(it.Value, &previous); err != nil || previous.V != 1 {
 			return fmt.Errorf("key %s can't be read: %.80q", leader.RestoreKey, it.Value)
 		}
-		if was.Sum != m.Sum || was.All != m.All {
-			return fmt.Errorf("%w: another file's restore is under way, %d of %d keys", ErrNotEmpty, was.Next, was.All)
+		if previous.Sum != m.Sum || previous.All != m.All {
+			return fmt.Errorf("%w: a restore of another file is under way, at %d of %d keys", ErrNotEmpty, previous.Next, previous.All)
 		}
-		m, stamp = was, it.Stamp
-	} else if it, ok := items[leader.BaseKey]; ok && items[leader.Key].Path == "" && restored(it, m.Sum) {
-		return nil // by an earlier call whose last answer was lost
+		m, stamp = previous, it.Stamp
+	} else if it, ok := items[leader.BaseKey]; ok && items[leader.Key].Path == "" && restoredFrom(it, m.Sum) {
+		return nil // an earlier call finished the restore, but its last answer was lost
 	} else if len(items) > 0 {
-		some := ""
+		firstKey := ""
 		for k := range items {
-			if some == "" || k < some {
-				some = k
+			if firstKey == "" || k < firstKey {
+				firstKey = k
 			}
 		}
-		return fmt.Errorf("%w: %d keys, first %s", ErrNotEmpty, len(items), some)
+		return fmt.Errorf("%w: %d keys, first %s", ErrNotEmpty, len(items), firstKey)
 	}
-	ops = max(2, ops) - 1 // one is the mark
+	ops = max(2, ops) - 1 // one change is the progress record
 	for {
 		t := wire.Txn{When: []wire.Cond{{Path: leader.RestoreKey, Stamp: stamp}, {Path: leader.Key}}}
 		next := m.Next
@@ -66,23 +67,23 @@
 			it := &s.Items[next]
 			switch it.Path {
 			case leader.Key, leader.RestoreKey, leader.BaseKey:
-				continue // a cluster's own, not its state
+				continue // belongs to the old cluster's leader election or restore
 			}
 			t.Apply = append(t.Apply, wire.Change{Write: it.Path, Value: it.Value})
 		}
 		m.Next = next
 		last := len(t.Apply) == 0
 		if last {
-			t.Apply = append(t.Apply, wire.Change{Write: leader.BaseKey, Value: wire.Encode(base(s))}, wire.Change{Delete: leader.RestoreKey})
+			t.Apply = append(t.Apply, wire.Change{Write: leader.BaseKey, Value: wire.Encode(restoreBase(s))}, wire.Change{Delete: leader.RestoreKey})
 		} else {
 			t.Apply = append(t.Apply, wire.Change{Write: leader.RestoreKey, Value: wire.Encode(m)})
 		}
 		status, b, err := ask.Ask("POST", wire.PathCommit, wire.Encode(t))
 		if err != nil {
-			return fmt.Errorf("interrupted at %d of %d keys, to be called again: %w", m.Next, m.All, err)
+			return fmt.Errorf("interrupted at %d of %d keys, run the restore again: %w", m.Next, m.All, err)
 		}
 		if status == 409 {
-			// It may be an earlier copy of ours that was applied without an answer.
+			// An earlier copy of this request may have been applied without an answer.
 			ours, now, err := applied(ask, m, last, s)
 			if err != nil {
 				return err
@@ -94,15 +95,15 @@
 				stamp = now
 				continue
 			}
-			return fmt.Errorf("something else writes to the state service (%s): end all controllers and other restores, then call again", b)
+			return fmt.Errorf("another process writes to the state service (%s): stop all controllers and other restores, then run the restore again", b)
 		}
 		o, err := wire.DecodeOutcome(b, false)
 		if status != 200 || err != nil {
-			return fmt.Errorf("the state service answers %d %.200s to a write", status, b)
+			return fmt.Errorf("the state service answered %d %.200s to a write", status, b)
 		}
 		stamp = o.Epoch
-		if told != nil {
-			told(m.Next, m.All)
+		if progress != nil {
+			progress(m.Next, m.All)
 		}
 		if last {
 			return nil
@@ -110,31 +111,32 @@
 	}
 }
 
-// base is what a restored cluster goes on from: above what the snapshot's cluster can
-// have used, and the base that it had itself.
-func base(s *Snapshot) leader.Base {
+// restoreBase returns the base of a restored cluster's tokens and attempts. It is above all
+// that the snapshot's cluster can have used, and includes that cluster's own base.
+func restoreBase(s *Snapshot) leader.Base {
 	b := leader.Base{V: 1, Token: s.Epoch + TokenMargin, Attempts: AttemptMargin, Sum: s.Sum()}
 	for i := range s.Items {
 		if s.Items[i].Path == leader.BaseKey {
-			var was leader.Base
-			if json.Unmarshal(s.Items[i].Value, &was) == nil {
-				b.Token += was.Token
-				b.Attempts += was.Attempts
+			var previous leader.Base
+			if json.Unmarshal(s.Items[i].Value, &previous) == nil {
+				b.Token += previous.Token
+				b.Attempts += previous.Attempts
 			}
 		}
 	}
 	return b
 }
 
-// restored reports whether the base is that of a restore of the same snapshot, on
-// which no leader has begun yet.
-func restored(it Item, sum string) bool {
+// restoredFrom reports whether the base was written by a restore of the snapshot with this
+// sum, and no leader has settled yet (leader.Base).
+func restoredFrom(it Item, sum string) bool {
 	var b leader.Base
 	return json.Unmarshal(it.Value, &b) == nil && b.Sum == sum && !b.Settled
 }
 
-// applied reports whether a write that was refused is there already.
-func applied(ask Asker, m mark, last bool, s *Snapshot) (ours bool, stamp uint64, err error) {
+// applied reports whether a refused transaction was already applied, and returns the
+// revision of its record.
+func applied(ask Asker, m restoreProgress, last bool, s *Snapshot) (ours bool, stamp uint64, err error) {
 	key := leader.RestoreKey
 	if last {
 		key = leader.BaseKey
@@ -148,9 +150,9 @@
 		return false, 0, err
 	}
 	if last {
-		var is leader.Base
-		return json.Unmarshal(it.Value, &is) == nil && is.Token == base(s).Token, it.Stamp, nil
+		var got leader.Base
+		return json.Unmarshal(it.Value, &got) == nil && got.Token == restoreBase(s).Token, it.Stamp, nil
 	}
-	var is mark
-	return json.Unmarshal(it.Value, &is) == nil && is == m, it.Stamp, nil
+	var got restoreProgress
+	return json.Unmarshal(it.Value, &got) == nil && got == m, it.Stamp, nil
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot copies a cluster's state out of the state service into a file,
-// looks into such files, checks them, and puts one back into an empty service.
+// Package snapshot exports a cluster's state from the state service to a file, reads and
+// verifies such files, and restores one into an empty state service.
 package snapshot
 
 import (
@@ -20,43 +20,45 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// magic is the first line of a file; the number is the file format's.
+// Format of a snapshot file, and bounds for reading one.
 const (
+	// The first line of a file is magic followed by the version of the file format.
 	magic   = "brooklb state "
 	version = "1"
-	// A value is at most some KiB; a line of a damaged file may be anything.
-	mostLine = 1 << 20
-	// mostKeys bounds what is read into memory.
-	mostKeys = 5_000_000
+	// maxLineBytes bounds the lines of a damaged file; a value has a few KiB at most.
+	maxLineBytes = 1 << 20
+	// maxKeys bounds the memory that a snapshot takes.
+	maxKeys = 5_000_000
 )
 
-// Item is a key with its value.
+// Item is a key with its value and the revision of its last change, Stamp.
 type Item struct {
 	Path  string          `json:"path"`
 	Value json.RawMessage `json:"value"`
 	Stamp uint64          `json:"stamp"`
 }
 
-// Snapshot is all of a cluster's state at one revision, by key.
+// Snapshot is a cluster's whole state at the revision Epoch, sorted by key.
 type Snapshot struct {
 	Epoch uint64
 	AtMS  int64
 	Items []Item
 }
 
-// head is the first line inside the compressed part, tail the last.
-type head struct {
+// header is the first line of the compressed part of a file.
+type header struct {
 	Epoch uint64 `json:"epoch"`
 	AtMS  int64  `json:"at_ms"`
 	Keys  int    `json:"keys"`
 }
 
-type tail struct {
-	SHA256 string `json:"sha256"` // of all lines before
+// trailer is the last line of the compressed part of a file.
+type trailer struct {
+	SHA256 string `json:"sha256"` // of all lines before this one
 }
 
-// Write writes a file: a plain line with its format, then, compressed with zstd, a
-// line of JSON for the head, one for each key, and one with a checksum.
+// Write writes a snapshot file. Its first line is plain text and names the format. The rest
+// is compressed with zstd: lines of JSON for the header, each key, and the checksum.
 func (s *Snapshot) Write(w io.Writer) error {
 	if _, err := io.WriteString(w, magic+version+"\n"); err != nil {
 		return err
@@ -75,7 +77,7 @@
 		return err
 	}
 	both := io.MultiWriter(z, sum)
-	if err := line(head{s.Epoch, s.AtMS, len(s.Items)}, both); err != nil {
+	if err := line(header{s.Epoch, s.AtMS, len(s.Items)}, both); err != nil {
 		return err
 	}
 	for i := range s.Items {
@@ -83,24 +85,24 @@
 			return err
 		}
 	}
-	if err := line(tail{hex.EncodeToString(sum.Sum(nil))}, z); err != nil {
+	if err := line(trailer{hex.EncodeToString(sum.Sum(nil))}, z); err != nil {
 		return err
 	}
 	return z.Close()
 }
 
-// ErrForeign says that a file is no snapshot, or one of a later program.
-var ErrForeign = errors.New("it is no snapshot of a cluster's state")
+// ErrNotSnapshot means that a file is not a snapshot.
+var ErrNotSnapshot = errors.New("not a snapshot of a cluster's state")
 
-// Read reads a file. Whatever is wrong with it, nothing of it is returned.
+// Read reads a snapshot file. It returns no part of a file that has an error.
 func Read(r io.Reader) (*Snapshot, error) {
 	in := bufio.NewReader(r)
 	first := make([]byte, len(magic)+len(version)+1)
 	if _, err := io.ReadFull(in, first); err != nil || !strings.HasPrefix(string(first), magic) {
-		return nil, ErrForeign
+		return nil, ErrNotSnapshot
 	}
 	if got := strings.TrimSpace(string(first[len(magic):])); got != version || first[len(first)-1] != '\n' {
-		return nil, fmt.Errorf("format %q is not known here, %s is: it may be a later program's", got, version)
+		return nil, fmt.Errorf("unsupported format %q, want %s: a later version of the program may have written the file", got, version)
 	}
 	z, err := zstd.NewReader(in, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 	if err != nil {
@@ -108,14 +110,14 @@
 	}
 	defer z.Close()
 	lines := bufio.NewScanner(z)
-	lines.Buffer(make([]byte, 0, 64<<10), mostLine)
+	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	sum := sha256.New()
 	next := func(sum hash.Hash) ([]byte, error) {
 		if !lines.Scan() {
 			if err := lines.Err(); err != nil {
 				return nil, fmt.Errorf("damaged: %w", err)
 			}
-			return nil, errors.New("damaged: it ends too soon")
+			return nil, errors.New("damaged: unexpected end of file")
 		}
 		if sum != nil {
 			sum.Write(lines.Bytes())
@@ -127,9 +129,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var h head
-	if err := json.Unmarshal(b, &h); err != nil || h.Keys < 0 || h.Keys > mostKeys {
-		return nil, fmt.Errorf("damaged: its head makes no sense: %.80q", b)
+	var h header
+	if err := json.Unmarshal(b, &h); err != nil || h.Keys < 0 || h.Keys > maxKeys {
+		return nil, fmt.Errorf("damaged: invalid header: %.80q", b)
 	}
 	s := &Snapshot{Epoch: h.Epoch, AtMS: h.AtMS, Items: make([]Item, 0, min(h.Keys, 1<<16))}
 	for i := range h.Keys {
@@ -138,22 +140,22 @@
 		}
 		var it Item
 		if err := json.Unmarshal(bytes.Clone(b), &it); err != nil || it.Path == "" || it.Stamp == 0 || len(it.Value) == 0 {
-			return nil, fmt.Errorf("key %d of %d makes no sense: %.80q", i+1, h.Keys, b)
+			return nil, fmt.Errorf("key %d of %d is invalid: %.80q", i+1, h.Keys, b)
 		}
 		if n := len(s.Items); n > 0 && s.Items[n-1].Path >= it.Path {
-			return nil, fmt.Errorf("key %d of %d, %s, is not in order", i+1, h.Keys, it.Path)
+			return nil, fmt.Errorf("key %d of %d, %s, is out of order", i+1, h.Keys, it.Path)
 		}
 		s.Items = append(s.Items, it)
 	}
 	if b, err = next(nil); err != nil {
 		return nil, fmt.Errorf("checksum: %w", err)
 	}
-	var t tail
+	var t trailer
 	if err := json.Unmarshal(b, &t); err != nil || t.SHA256 != hex.EncodeToString(sum.Sum(nil)) {
-		return nil, errors.New("damaged: its checksum is wrong")
+		return nil, errors.New("damaged: wrong checksum")
 	}
 	if lines.Scan() {
-		return nil, errors.New("damaged: something follows its end")
+		return nil, errors.New("damaged: data after the checksum")
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("damaged: %w", err)
@@ -161,7 +163,7 @@
 	return s, nil
 }
 
-// Sum names the snapshot's content.
+// Sum returns a hash that identifies the snapshot's content.
 func (s *Snapshot) Sum() string {
 	h := sha256.New()
 	for i := range s.Items {
@@ -174,5 +176,5 @@
 	sort.Slice(s.Items, func(i, j int) bool { return s.Items[i].Path < s.Items[j].Path })
 }
 
-// Prefix is where a cluster's keys lie.
+// Prefix is the common prefix of a cluster's keys.
 const Prefix = statestore.Prefix
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -23,8 +23,8 @@
 	return s
 }
 
-// TestFile guards files: what was written is read, and whatever is done to a file, it
-// is read as it was or not at all, with a line that says why.
+// TestFile checks that a written file is read back, and that a damaged file is either read
+// with its original content or refused with a one-line error.
 func TestFile(t *testing.T) {
 	s := sample(300)
 	var w bytes.Buffer
@@ -40,15 +40,15 @@
 	for i := range s.Items {
 		plain += len(s.Items[i].Path) + len(s.Items[i].Value)
 	}
-	t.Logf("%d keys with %d bytes take %d in the file", len(s.Items), plain, len(file))
+	t.Logf("%d keys with %d bytes take %d bytes in the file", len(s.Items), plain, len(file))
 	rng := rand.New(rand.NewPCG(1, 1))
 	bad := func(name string, b []byte) {
 		got, err := Read(bytes.NewReader(b))
 		if err == nil && got.Sum() != s.Sum() {
-			t.Errorf("%s: read as something else", name)
+			t.Errorf("%s: read with different content", name)
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than a line: %v", name, err)
+			t.Errorf("%s: error has more than one line: %v", name, err)
 		}
 	}
 	for range 300 {
@@ -82,14 +82,14 @@
 	}
 }
 
-// service is a state service that changes between any two answers.
+// service is a state service whose keys change between any two answers.
 type service struct {
-	rng     *rand.Rand
-	keys    map[string]Item
-	epoch   uint64
-	history []string // key of each revision
-	keep    int
-	strange string
+	rng           *rand.Rand
+	keys          map[string]Item
+	epoch         uint64
+	history       []string // key of each revision
+	keptRevisions int
+	fault         string
 }
 
 func (s *service) change() {
@@ -116,7 +116,7 @@
 	enc := func(v any) []byte { b, _ := json.Marshal(v); return b }
 	if strings.HasPrefix(path, "/changes") {
 		from, _ := strconv.ParseUint(q["from"], 10, 64)
-		if int(s.epoch-from) > s.keep {
+		if int(s.epoch-from) > s.keptRevisions {
 			return 410, []byte("{}"), nil
 		}
 		news := []map[string]any{}
@@ -139,7 +139,7 @@
 		}
 	}
 	more := len(items) == 30
-	switch s.strange {
+	switch s.fault {
 	case "order":
 		s.rng.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 	case "again":
@@ -152,11 +152,12 @@
 	return 200, enc(map[string]any{"items": items, "has_next": more, "epoch": s.epoch}), nil
 }
 
-// TestFetch guards copies of a live cluster: all of one revision, however much
-// changes between the pages, and in any order; what makes no sense is refused.
+// TestFetch checks copies of a live cluster. The copy is of one revision although keys
+// change between the pages and the service sends keys and events in any order. Malformed
+// answers are refused.
 func TestFetch(t *testing.T) {
 	for seed := range uint64(200) {
-		s := &service{rng: rand.New(rand.NewPCG(seed, 2)), keys: map[string]Item{}, keep: 10_000, strange: []string{"", "order"}[seed%2]}
+		s := &service{rng: rand.New(rand.NewPCG(seed, 2)), keys: map[string]Item{}, keptRevisions: 10_000, fault: []string{"", "order"}[seed%2]}
 		for range 600 {
 			s.change()
 		}
@@ -165,13 +166,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The state at that revision, from the history: nothing has changed since the last answer.
+		// Nothing has changed since the last answer, so the copy must equal the current keys.
 		if got.Epoch != s.epoch {
-			t.Fatalf("seed %d: of revision %d, the last answer was of %d", seed, got.Epoch, s.epoch)
+			t.Fatalf("seed %d: the copy has revision %d, the last answer had %d", seed, got.Epoch, s.epoch)
 		}
 		want = s.keys
 		if len(got.Items) != len(want) {
-			t.Fatalf("seed %d: %d keys, %d are there", seed, len(got.Items), len(want))
+			t.Fatalf("seed %d: the copy has %d keys, the service %d", seed, len(got.Items), len(want))
 		}
 		for i, it := range got.Items {
 			if w := want[it.Path]; w.Stamp != it.Stamp || string(w.Value) != string(it.Value) || i > 0 && got.Items[i-1].Path >= it.Path {
@@ -179,25 +180,25 @@
 			}
 		}
 	}
-	for strange, why := range map[string]string{"again": "only later ones", "garbage": "no items"} {
-		s := &service{rng: rand.New(rand.NewPCG(1, 2)), keys: map[string]Item{}, keep: 10_000, strange: strange}
+	for fault, why := range map[string]string{"again": "only later ones", "garbage": "no items"} {
+		s := &service{rng: rand.New(rand.NewPCG(1, 2)), keys: map[string]Item{}, keptRevisions: 10_000, fault: fault}
 		for range 600 {
 			s.change()
 		}
 		if _, err := Fetch(s, time.Now); err == nil || !strings.Contains(err.Error(), why) {
-			t.Errorf("%s: %v", strange, err)
+			t.Errorf("%s: %v", fault, err)
 		}
 	}
-	s := &service{rng: rand.New(rand.NewPCG(1, 2)), keys: map[string]Item{}, keep: 2}
+	s := &service{rng: rand.New(rand.NewPCG(1, 2)), keys: map[string]Item{}, keptRevisions: 2}
 	for range 600 {
 		s.change()
 	}
-	if _, err := Fetch(s, time.Now); !errors.Is(err, ErrMoving) {
-		t.Errorf("a service that forgets its changes: %v", err)
+	if _, err := Fetch(s, time.Now); !errors.Is(err, ErrChangesTooFast) {
+		t.Errorf("a service that discards its changes: %v", err)
 	}
 }
 
-// TestVerify has each thing that should not be found under its key.
+// TestVerify checks that each kind of inconsistency is found and reported for its key.
 func TestVerify(t *testing.T) {
 	open := func(team string, kind, tasks int) json.RawMessage {
 		return json.RawMessage(fmt.Sprintf(`{"v":2,"at":1,"k":%d,"c":10,"s":{"t":%q,"k":%d,"cp":4,"any":true}}`, tasks, team, kind))
@@ -233,13 +234,13 @@
 	}
 }
 
-// TestRestoreGoesOn guards the base that a restored cluster goes on from: above the
-// snapshot's, and above that of a cluster that was itself restored.
+// TestRestoreGoesOn checks the base of a restored cluster's tokens and attempts. It is above
+// the snapshot's, also if the snapshot's cluster was itself restored.
 func TestRestoreGoesOn(t *testing.T) {
 	s := sample(3)
-	a := base(s)
+	a := restoreBase(s)
 	s.Items = append([]Item{{leader.BaseKey, mustRaw(a), 8}}, s.Items...)
-	b := base(s)
+	b := restoreBase(s)
 	if a.Token <= s.Epoch || b.Token <= a.Token+s.Epoch || b.Attempts <= a.Attempts || a.Settled {
 		t.Errorf("%+v, then %+v", a, b)
 	}
@@ -247,7 +248,7 @@
 
 func mustRaw(v any) json.RawMessage { b, _ := json.Marshal(v); return b }
 
-// FuzzRead: whatever a file has, it is read or refused.
+// FuzzRead checks that Read accepts or refuses any input without a panic.
 func FuzzRead(f *testing.F) {
 	var w bytes.Buffer
 	_ = sample(3).Write(&w)
--- a/internal/snapshot/verify.go
+++ b/internal/snapshot/verify.go
@@ -13,21 +13,22 @@
 	"brooklb/internal/units"
 )
 
-// Finding is something in a state that should not be.
+// Finding is an inconsistency in a state.
 type Finding struct {
 	Key  string `json:"key"`
-	Rule string `json:"rule"` // of the protocol that it touches, or "record"
+	Rule string `json:"rule"` // the rule of the protocol that is violated, or "record"
 	Text string `json:"text"`
-	// Maybe: a live cluster may be so for a while. Ends of tasks are written some seconds
-	// after their room is used again, and a count may be lowered below what is in use.
-	Maybe bool `json:"maybe,omitempty"`
+	// Transient means that the state of a live cluster may have this finding for a while: the
+	// end of a task is written some seconds after its capacity is used again, and an operator
+	// may lower a count below the usage.
+	Transient bool `json:"maybe,omitempty"`
 }
 
-// Counts is what a state has, by kind.
+// Counts counts the content of a state by kind.
 type Counts struct {
 	Keys      int            `json:"keys"`
 	Bytes     int            `json:"bytes"`
-	Jobs      map[string]int `json:"jobs"` // open, done, cancelled
+	Jobs      map[string]int `json:"jobs"` // by state: open, done, cancelled
 	Chunks    int            `json:"chunks"`
 	Placed    int            `json:"tasks_placed"`
 	DoneTasks int            `json:"tasks_done"` // of open jobs
@@ -39,28 +40,28 @@
 }
 
 type verifier struct {
-	s        *Snapshot
-	jobs     map[string]*ledger.JobRecord
-	machines map[string]bool
-	teams    map[string]settings.Team
-	use      map[string]model.Resources
-	units    map[string]*units.Record
-	unitsUse map[string]int
-	perJob   map[string]bool
-	services map[string]*rollout.Record
-	out      []Finding
-	counts   Counts
+	s             *Snapshot
+	jobs          map[string]*ledger.JobRecord
+	machines      map[string]bool
+	teams         map[string]settings.Team
+	teamUse       map[string]model.Resources
+	units         map[string]*units.Record
+	unitsUsed     map[string]int
+	countedPerJob map[string]bool
+	services      map[string]*rollout.Record
+	findings      []Finding
+	counts        Counts
 }
 
-func (v *verifier) find(key, rule, format string, a ...any) {
-	v.out = append(v.out, Finding{Key: key, Rule: rule, Text: fmt.Sprintf(format, a...), Maybe: rule == "quota" || rule == "units"})
+func (v *verifier) addFinding(key, rule, format string, a ...any) {
+	v.findings = append(v.findings, Finding{Key: key, Rule: rule, Text: fmt.Sprintf(format, a...), Transient: rule == "quota" || rule == "units"})
 }
 
-// Verify checks a state against what always holds. Teams' limits are those of the
-// settings; nil: they are not checked.
+// Verify checks a state against the invariants. teams has the limits from the settings; if it
+// is nil, limits are not checked.
 func Verify(s *Snapshot, teams []settings.Team) ([]Finding, Counts) {
-	v := &verifier{s: s, jobs: map[string]*ledger.JobRecord{}, machines: map[string]bool{}, use: map[string]model.Resources{}, units: map[string]*units.Record{},
-		unitsUse: map[string]int{}, perJob: map[string]bool{}, services: map[string]*rollout.Record{}}
+	v := &verifier{s: s, jobs: map[string]*ledger.JobRecord{}, machines: map[string]bool{}, teamUse: map[string]model.Resources{}, units: map[string]*units.Record{},
+		unitsUsed: map[string]int{}, countedPerJob: map[string]bool{}, services: map[string]*rollout.Record{}}
 	if teams != nil {
 		v.teams = map[string]settings.Team{}
 		for _, t := range teams {
@@ -73,42 +74,42 @@
 		v.counts.Keys++
 		v.counts.Bytes += len(it.Path) + len(it.Value)
 		if it.Stamp > s.Epoch {
-			v.find(it.Path, "record", "its revision %d is later than the state's, %d", it.Stamp, s.Epoch)
+			v.addFinding(it.Path, "record", "its revision %d is later than the state's, %d", it.Stamp, s.Epoch)
 		}
-		v.first(it)
+		v.readRecord(it)
 	}
 	for i := range s.Items {
 		if key := s.Items[i].Path; strings.HasPrefix(key, ledger.ChunkPrefix) {
-			v.chunk(&s.Items[i])
+			v.checkChunk(&s.Items[i])
 		}
 	}
-	for name, u := range v.use {
+	for name, u := range v.teamUse {
 		if t := (&ledger.Team{Team: v.teams[name], Used: u}); v.teams != nil && !t.WithinLimit(model.Resources{}) {
-			v.find(ledger.JobPrefix, "quota", "team %q has tasks of %g CPUs and %g GPUs placed, its limits are %g and %g", name, u.CPUs, u.GPUs, t.CPUsMax, t.GPUsMax)
+			v.addFinding(ledger.JobPrefix, "quota", "team %q has tasks of %g CPUs and %g GPUs placed, its limits are %g and %g", name, u.CPUs, u.GPUs, t.CPUsMax, t.GPUsMax)
 		}
 	}
-	for name, n := range v.unitsUse {
+	for name, n := range v.unitsUsed {
 		switch r := v.units[name]; {
 		case r == nil:
-			v.find(units.Key(name), "units", "%d units are in use of a resource that has no record", n)
+			v.addFinding(units.Key(name), "units", "%d units are in use of a resource that has no record", n)
 		case n > r.Count:
-			v.find(units.Key(name), "units", "%d units are in use, of which there are %d now", n, r.Count)
+			v.addFinding(units.Key(name), "units", "%d units are in use, of which there are %d now", n, r.Count)
 		}
 	}
 	v.checkServices()
 	v.counts.Machines = len(v.machines)
-	return v.out, v.counts
+	return v.findings, v.counts
 }
 
-// first reads all records but the chunks, which need the jobs'.
-func (v *verifier) first(it *Item) {
+// readRecord decodes a record other than a chunk. Chunks need the records of their jobs.
+func (v *verifier) readRecord(it *Item) {
 	key := it.Path
 	switch {
 	case strings.HasPrefix(key, ledger.JobPrefix):
 		id := strings.TrimPrefix(key, ledger.JobPrefix)
 		r, err := ledger.DecodeRecord(id, it.Value)
 		if err != nil {
-			v.find(key, "record", "%v", err)
+			v.addFinding(key, "record", "%v", err)
 			return
 		}
 		v.jobs[id] = r
@@ -123,7 +124,7 @@
 		name := strings.TrimPrefix(key, rollout.Prefix)
 		r, err := rollout.Decode(name, it.Value)
 		if err != nil {
-			v.find(key, "record", "%v", err)
+			v.addFinding(key, "record", "%v", err)
 			return
 		}
 		v.counts.Services++
@@ -132,7 +133,7 @@
 		name := strings.TrimPrefix(key, units.Prefix)
 		r, err := units.Decode(name, it.Value)
 		if err != nil {
-			v.find(key, "record", "%v", err)
+			v.addFinding(key, "record", "%v", err)
 			return
 		}
 		v.counts.Resources++
@@ -144,32 +145,33 @@
 	}
 }
 
-func (v *verifier) chunk(it *Item) {
+// checkChunk checks the placements in a chunk, and adds them to the usage of teams and units.
+func (v *verifier) checkChunk(it *Item) {
 	key := it.Path
 	rest := strings.TrimPrefix(key, ledger.ChunkPrefix)
 	i := strings.LastIndexByte(rest, '/')
 	if i < 0 {
-		v.find(key, "record", "it is no key of a chunk")
+		v.addFinding(key, "record", "it is no key of a chunk")
 		return
 	}
 	n, err := strconv.Atoi(rest[i+1:])
 	id := rest[:i]
 	r := v.jobs[id]
 	if err != nil || n < 0 {
-		v.find(key, "record", "it is no key of a chunk")
+		v.addFinding(key, "record", "it is no key of a chunk")
 		return
 	}
 	if r == nil {
-		v.find(key, "forgotten", "its job %s has no record that can be read", id)
+		v.addFinding(key, "forgotten", "its job %s has no record that can be read", id)
 		return
 	}
 	places, err := ledger.DecodeChunkTasks(key, it.Value)
 	if err != nil {
-		v.find(key, "record", "%v", err)
+		v.addFinding(key, "record", "%v", err)
 		return
 	}
 	if n >= r.Chunks() || len(places) > r.TasksPerChunk || n*r.TasksPerChunk+len(places) > r.Tasks {
-		v.find(key, "record", "%d tasks from %d on, but job %s has %d in chunks of %d", len(places), n*r.TasksPerChunk, id, r.Tasks, r.TasksPerChunk)
+		v.addFinding(key, "record", "%d tasks from %d on, but job %s has %d in chunks of %d", len(places), n*r.TasksPerChunk, id, r.Tasks, r.TasksPerChunk)
 		return
 	}
 	spec := r.JobSpec()
@@ -185,50 +187,51 @@
 			v.machines[p.Machine] = true
 			attempts[p.Attempt] = true
 			if p.Attempt == 0 {
-				v.find(key, "ran_twice", "task %d is placed on %s without an attempt", n*r.TasksPerChunk+k, p.Machine)
+				v.addFinding(key, "ran_twice", "task %d is placed on %s without an attempt", n*r.TasksPerChunk+k, p.Machine)
 			}
 			if r.Final == ledger.Done {
-				v.find(key, "not_done", "task %d is on %s, but job %s is done", n*r.TasksPerChunk+k, p.Machine, id)
+				v.addFinding(key, "not_done", "task %d is on %s, but job %s is done", n*r.TasksPerChunk+k, p.Machine, id)
 			}
 			if spec != nil {
-				v.use[spec.Team] = v.use[spec.Team].Add(spec.Resources)
+				v.teamUse[spec.Team] = v.teamUse[spec.Team].Add(spec.Resources)
 				for _, u := range spec.Units {
 					if !u.PerJob {
-						v.unitsUse[u.Name] += u.Quantity
-					} else if !v.perJob[id+" "+u.Name] {
-						v.perJob[id+" "+u.Name] = true
-						v.unitsUse[u.Name] += u.Quantity
+						v.unitsUsed[u.Name] += u.Quantity
+					} else if !v.countedPerJob[id+" "+u.Name] {
+						v.countedPerJob[id+" "+u.Name] = true
+						v.unitsUsed[u.Name] += u.Quantity
 					}
 				}
 			}
 		}
 	}
 	if spec != nil && spec.Kind == model.Gang && len(attempts) > 1 {
-		v.find(key, "record", "the tasks of gang %s have %d different attempts", id, len(attempts))
+		v.addFinding(key, "record", "the tasks of gang %s have %d different attempts", id, len(attempts))
 	}
 }
 
-// checkServices checks that versions and services name each other.
+// checkServices checks that services and the jobs that are their versions refer to each
+// other.
 func (v *verifier) checkServices() {
 	for name, r := range v.services {
 		for _, id := range r.Jobs() {
 			j := v.jobs[id]
 			switch {
 			case j == nil:
-				v.find(rollout.Key(name), "forgotten", "its version %s has no record that can be read", id)
+				v.addFinding(rollout.Key(name), "forgotten", "its version %s has no record that can be read", id)
 			case j.Service != name:
-				v.find(rollout.Key(name), "record", "its version %s says that it belongs to service %q", id, j.Service)
+				v.addFinding(rollout.Key(name), "record", "its version %s says that it belongs to service %q", id, j.Service)
 			}
 		}
 	}
 	for id, j := range v.jobs {
 		if j.Service != "" && j.Final == ledger.Open && v.services[j.Service] == nil {
-			v.find(ledger.JobKey(id), "record", "it is a version of service %s, which has no record that can be read", j.Service)
+			v.addFinding(ledger.JobKey(id), "record", "it is a version of service %s, which has no record that can be read", j.Service)
 		}
 	}
 }
 
-// Diff lists the keys in which two states differ.
+// Diff lists the keys that state b adds, removes and changes relative to a.
 func Diff(a, b *Snapshot) (added, removed, changed []string) {
 	old := map[string]*Item{}
 	for i := range a.Items {
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -90,7 +90,7 @@
 		s.env.After(0, func() { done(0, false) })
 		return
 	}
-	s.call("POST", wire.PathGrants, wire.TTL(int(ttl.Milliseconds())), readTimeout, func(a actor.Answer) {
+	s.call("POST", wire.PathGrants, wire.LeaseRequest(int(ttl.Milliseconds())), readTimeout, func(a actor.Answer) {
 		if a.Err != nil || a.Status != 200 {
 			done(0, false)
 			return
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -345,15 +345,15 @@
 			s.Start()
 			return
 		}
-		n, err := wire.DecodeNews(a.Body)
+		n, err := wire.DecodeWatchResponse(a.Body)
 		if a.Status != 200 || err != nil {
 			s.env.Log().Error("invalid response to a watch", "status", a.Status, "err", err)
 			retry(time.Second)
 			return
 		}
-		sort.SliceStable(n.News, func(i, j int) bool { return n.News[i].Stamp < n.News[j].Stamp })
-		for i := range n.News {
-			e := &n.News[i]
+		sort.SliceStable(n.Events, func(i, j int) bool { return n.Events[i].Stamp < n.Events[j].Stamp })
+		for i := range n.Events {
+			e := &n.Events[i]
 			if e.Delete != "" {
 				s.drop(e.Delete, e.Stamp)
 			} else if e.Write != "" {
--- a/internal/units/door.go
+++ b/internal/units/door.go
@@ -81,7 +81,7 @@
 		}
 		d.change(name, func(rec *Record) error { return d.set(rec, u) }, 4, reply)
 	case verb == wire.VerbRemove && r.Method == "POST":
-		asked, err := wire.DecodeAsked(r.Body)
+		asked, err := wire.DecodeRequestInfo(r.Body)
 		if err != nil {
 			reply(answer.Refuse(400, 0, "%v", err))
 			return true
@@ -120,7 +120,7 @@
 var priorities = map[string]model.Priority{"low": model.Low, "normal": model.Normal, "high": model.High, "production": model.Production}
 
 // set changes what the operator names, and leaves the rest.
-func (d *Door) set(rec *Record, u *wire.Units) error {
+func (d *Door) set(rec *Record, u *wire.UnitsUpdate) error {
 	if u.Count == nil && rec.V == 0 {
 		return fmt.Errorf("field count is missing: the resource is new")
 	}
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -9,7 +9,8 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// DecodeMachineTypes reads the cloud's machine types.
+// DecodeMachineTypes decodes the cloud's list of machine types. In the cloud's protocol a
+// hull is a machine type and a yard is a zone.
 func DecodeMachineTypes(b []byte) ([]model.MachineType, error) {
 	var r struct {
 		Hulls []struct {
@@ -29,12 +30,12 @@
 		return nil, fmt.Errorf("machine types: %s", clip(err.Error()))
 	}
 	if len(r.Hulls) == 0 {
-		return nil, fmt.Errorf("machine types: none")
+		return nil, fmt.Errorf("machine types: the list is empty")
 	}
 	var out []model.MachineType
 	for _, h := range r.Hulls {
 		if h.SKU == "" {
-			return nil, fmt.Errorf("machine types: one has no name")
+			return nil, fmt.Errorf("machine types: a machine type has no name")
 		}
 		out = append(out, model.MachineType{Name: h.SKU, Cap: model.Resources{CPUs: h.CPUs, GPUs: h.GPUs, MemGB: h.MemoryGB},
 			CacheGB: h.LocalGB, FetchGBs: h.Fetch, Price: h.Hourly, SpotCost: h.LowPrice, BootS: h.ReadyS, Zones: h.Yards})
@@ -42,7 +43,8 @@
 	return out, nil
 }
 
-// Rent is the body of a rental request.
+// Rent returns the body of a request to rent machines. The protocol's charter is the
+// request's id, and loaners are spot machines.
 func Rent(charter, typ, zone string, spot bool, count int) []byte {
 	return Encode(struct {
 		Charter string `json:"charter"`
@@ -53,7 +55,7 @@
 	}{charter, typ, zone, spot, count})
 }
 
-// DecodeRented reads the names of rented machines.
+// DecodeRented decodes the names of rented machines.
 func DecodeRented(b []byte) ([]string, error) {
 	var r struct {
 		Hosts []string `json:"hosts"`
@@ -64,7 +66,7 @@
 	return r.Hosts, nil
 }
 
-// Return is the body of a request to return machines.
+// Return returns the body of a request to return machines to the cloud.
 func Return(names []string) []byte {
 	return Encode(struct {
 		Hosts []string `json:"hosts"`
@@ -73,7 +75,8 @@
 
 var machineStates = map[string]string{"starting": "booting", "running": "running", "failed": "failed"}
 
-// DecodeMachines reads one page of the machine list.
+// DecodeMachines decodes one page of the machine list and reports whether another page
+// follows.
 func DecodeMachines(b []byte) ([]model.ListedMachine, bool, error) {
 	var r struct {
 		Hosts *[]struct {
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// The fuzz tests run their corpora in every test run; `go test -fuzz NAME` goes on
-// from there (docs/testing.md). Whatever comes is read or refused with one line.
+// Every test run includes the seed inputs of the fuzz tests; `go test -fuzz NAME` searches
+// for more (docs/testing.md). The decoders accept each input or return a one-line error.
 
 func oneLine(t *testing.T, err error) {
 	if err != nil && strings.ContainsAny(err.Error(), "\n\r") {
-		t.Errorf("more than a line: %q", err)
+		t.Errorf("error has more than one line: %q", err)
 	}
 }
 
@@ -51,7 +51,7 @@
 				t.Errorf("accepted %+v", it)
 			}
 		}
-		_, err = DecodeNews(b)
+		_, err = DecodeWatchResponse(b)
 		oneLine(t, err)
 		_, err = DecodeOutcome(b, true)
 		oneLine(t, err)
@@ -76,7 +76,7 @@
 	})
 }
 
-func FuzzOurs(f *testing.F) {
+func FuzzServicesAndUnits(f *testing.F) {
 	f.Add([]byte(`{"job":{"ref":"j-2"},"steps":[1,"50%"],"surge":"25%","health":{"port":8000,"path":"/healthz/{task}"}}`))
 	f.Add([]byte(`{"count":5,"teams":{"red":{"most":1}},"reserve":{"high":1}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -90,7 +90,7 @@
 		if err == nil && u.Count != nil && *u.Count < 0 {
 			t.Errorf("accepted %+v", u)
 		}
-		_, err = DecodeAsked(b)
+		_, err = DecodeRequestInfo(b)
 		oneLine(t, err)
 	})
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -10,10 +10,10 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// MaxTasks is the largest number of tasks of a job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100000
 
-// States of jobs as users read them.
+// States of a job in answers to users.
 const (
 	JobPending   = "pending"
 	JobRunning   = "running"
@@ -34,6 +34,8 @@
 	return true
 }
 
+// jobBody is a submission. In the protocol a lane is a class, a crew is a team, a shape is
+// a kind of job, a shard is a task, a bundle is an image and loaners are spot machines.
 type jobBody struct {
 	Ref       *string   `json:"ref"`
 	Lane      *string   `json:"lane"`
@@ -62,10 +64,10 @@
 
 var priorities = map[string]model.Priority{"critical": model.Production, "high": model.High, "standard": model.Normal, "idle": model.Low}
 
-// No amount of the interfaces comes near this; what does is malformed.
+// maxAmount bounds CPUs, GPUs, gigabytes and seconds; larger values are malformed.
 const maxAmount = 1e9
 
-// DecodeJob reads a submission. The error is for the user.
+// DecodeJob decodes and validates a submission. The error text is sent to the user.
 func DecodeJob(b []byte) (*model.Spec, error) {
 	t := bytes.TrimLeft(b, " \t\r\n")
 	if len(t) == 0 || t[0] != '{' {
@@ -152,7 +154,7 @@
 		amount("due_s", j.DueS, &s.DeadlineS)
 	}
 	if err == nil {
-		s.Units, err = decodeAsks(j.Units)
+		s.Units, err = decodeUnitAsks(j.Units)
 	}
 	if err != nil {
 		return nil, err
@@ -160,7 +162,7 @@
 	return s, nil
 }
 
-// JobState is what a user is told.
+// JobState is the answer to a user's request for the state of a job.
 type JobState struct {
 	Ref     string `json:"ref"`
 	Phase   string `json:"phase"`
--- a/internal/wire/overview.go
+++ b/internal/wire/overview.go
@@ -1,39 +1,40 @@
 package wire
 
-// Overview is how a node and, if it leads, the cluster stand. It is ours: the
-// words are the field's, and no deployment depends on them.
+// Overview is the state of a node and, if the node is the leader, of the cluster. It is
+// not part of the protocol that deployments depend on.
 type Overview struct {
-	Node         string        `json:"node"`
-	Healthy      bool          `json:"healthy"`
-	Leading      bool          `json:"leading"`
-	Leader       string        `json:"leader,omitempty"` // as far as the node knows
-	Token        uint64        `json:"token,omitempty"`
-	LedS         float64       `json:"led_s,omitempty"`
-	StateSilentS float64       `json:"state_silent_s"` // since the state service's last answer
-	Door         *DoorView     `json:"door,omitempty"`
-	Machines     *MachinesView `json:"machines,omitempty"`
-	Jobs         *JobsView     `json:"jobs,omitempty"`
-	Teams        []TeamView    `json:"teams,omitempty"`
-	Classes      []ClassView   `json:"classes,omitempty"` // with unfinished jobs, the most tasks first
-	Queue        []JobView     `json:"queue,omitempty"`   // jobs with waiting tasks, oldest first
+	Node         string         `json:"node"`
+	Healthy      bool           `json:"healthy"`
+	Leading      bool           `json:"leading"`
+	Leader       string         `json:"leader,omitempty"` // the leader that the node knows of
+	Token        uint64         `json:"token,omitempty"`
+	LedS         float64        `json:"led_s,omitempty"`
+	StateSilentS float64        `json:"state_silent_s"` // time since the state service's last answer
+	Admission    *AdmissionView `json:"door,omitempty"`
+	Machines     *MachinesView  `json:"machines,omitempty"`
+	Jobs         *JobsView      `json:"jobs,omitempty"`
+	Teams        []TeamView     `json:"teams,omitempty"`
+	Classes      []ClassView    `json:"classes,omitempty"` // classes with unfinished jobs, ordered by tasks, most first
+	Queue        []JobView      `json:"queue,omitempty"`   // jobs with waiting tasks, oldest first
 }
 
-// DoorView is what a node takes in; rates are by second.
-type DoorView struct {
-	Changes  float64 `json:"changes"` // of the state service it may make
-	Wanted   float64 `json:"wanted"`  // submissions that come
+// AdmissionView is the state of a node's admission of submissions. Rates are per second.
+type AdmissionView struct {
+	Changes  float64 `json:"changes"` // rate of changes the node may make in the state service
+	Wanted   float64 `json:"wanted"`  // rate of incoming submissions
 	Admitted float64 `json:"admitted"`
-	Waiting  int     `json:"waiting"` // at the door
-	Refused  int     `json:"refused"` // since the process began
-	// Only the leader knows: the part of the limit that is handed out, how many seconds
-	// of its changes wait to be written, and the classes of which nothing is taken.
-	Ease    float64  `json:"ease,omitempty"`
-	BehindS float64  `json:"behind_s"`
-	Shut    []string `json:"shut,omitempty"`
+	Waiting  int     `json:"waiting"` // submissions that wait for admission
+	Refused  int     `json:"refused"` // submissions refused since the process started
+	// Only the leader sets the following fields. AdmitFraction is the fraction of the write
+	// limit that it divides among the nodes, WriteBacklogS is how many seconds its pending
+	// writes take, and ClosedClasses lists the classes whose submissions are refused.
+	AdmitFraction float64  `json:"ease,omitempty"`
+	WriteBacklogS float64  `json:"behind_s"`
+	ClosedClasses []string `json:"shut,omitempty"`
 }
 
-// ClassView is a class of a team: its unfinished jobs, those of them within its floor,
-// and its tasks.
+// ClassView counts the unfinished jobs and the tasks of a class of a team. Floor counts the
+// jobs that may use the capacity guaranteed to the class.
 type ClassView struct {
 	Class   string `json:"class"`
 	Team    string `json:"team"`
@@ -43,8 +44,9 @@
 	Placed  int    `json:"placed_tasks"`
 }
 
-// MachinesView counts machines; the figures with a fraction are whole machines'
-// worth of what tasks take.
+// MachinesView counts machines. Running, Fetching, Waiting and Saving add up the fractions of
+// machines that tasks in that phase use. Room adds up the free fractions of machines with
+// tasks.
 type MachinesView struct {
 	Total    int     `json:"total"`
 	Spot     int     `json:"spot"`
@@ -67,26 +69,26 @@
 	AtFault      int `json:"at_fault"`
 }
 
-// TeamView is a team's use; 0 as guarantee or limit means none.
+// TeamView is a team's resource usage. A guarantee or limit of 0 means that there is none.
 type TeamView struct {
 	Name           string  `json:"name"`
 	CPUs           float64 `json:"cpus"`
 	GPUs           float64 `json:"gpus"`
 	GuaranteedCPUs float64 `json:"guaranteed_cpus"`
 	GuaranteedGPUs float64 `json:"guaranteed_gpus"`
-	MostCPUs       float64 `json:"most_cpus"`
-	MostGPUs       float64 `json:"most_gpus"`
+	MaxCPUs        float64 `json:"most_cpus"`
+	MaxGPUs        float64 `json:"most_gpus"`
 }
 
-// JobView is a job that waits.
+// JobView is a job with waiting tasks.
 type JobView struct {
-	Job    string  `json:"job"`
-	Class  string  `json:"class"`
-	Team   string  `json:"team"`
-	Tasks  int     `json:"tasks"`
-	Done   int     `json:"done"`
-	Placed int     `json:"placed"`
-	AgeS   float64 `json:"age_s"`
-	Why    string  `json:"why,omitempty"`  // it waits
-	Last   string  `json:"last,omitempty"` // why a task of it stopped last
+	Job            string  `json:"job"`
+	Class          string  `json:"class"`
+	Team           string  `json:"team"`
+	Tasks          int     `json:"tasks"`
+	Done           int     `json:"done"`
+	Placed         int     `json:"placed"`
+	AgeS           float64 `json:"age_s"`
+	Why            string  `json:"why,omitempty"`  // why the job waits
+	LastStopReason string  `json:"last,omitempty"` // why one of its tasks last stopped
 }
--- a/internal/wire/report.go
+++ b/internal/wire/report.go
@@ -10,7 +10,8 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// ReportsTo names the node that handles reports.
+// ReportsTo returns the body that names the node to which workers send their reports. An
+// empty label means that none is known.
 func ReportsTo(label string) []byte {
 	if label == "" {
 		return []byte(`{}`)
@@ -20,6 +21,8 @@
 	}{label})
 }
 
+// taskBody is a task in a worker's report. The protocol calls a task a shard and an attempt
+// a launch.
 type taskBody struct {
 	Shard  string `json:"shard"`
 	Launch uint64 `json:"launch"`
@@ -28,6 +31,9 @@
 	Kept   bool   `json:"kept"`
 }
 
+// reportBody is a worker's report. The protocol calls the worker's session its tenure, the
+// report's sequence number tick, the leader's token baton, and the time until a spot
+// machine is taken away recall_s.
 type reportBody struct {
 	Host    string     `json:"host"`
 	Address string     `json:"address"`
@@ -48,7 +54,7 @@
 	"incomplete": model.CauseGangIncomplete, "error": model.CauseError, "no_room": model.CauseNoRoom, "busy": model.CauseBusy,
 	"unknown": model.CauseUnknown}
 
-// SplitTask splits "j-000412/3".
+// SplitTask splits a task's name, such as "j-000412/3", into the job and the task's number.
 func SplitTask(s string) (job string, task int, ok bool) {
 	i := strings.LastIndexByte(s, '/')
 	if i < 0 || !ValidJobID(s[:i]) {
@@ -61,8 +67,8 @@
 	return s[:i], int(n), true
 }
 
-// ReportHead reads only who sent a worker's report, its zone, and the highest token it
-// has seen; "" if it can't be read.
+// ReportHead decodes only the sender of a worker's report, its zone, and the highest token
+// that the worker has seen. The host is "" if the report can't be decoded.
 func ReportHead(b []byte) (host, zone string, token uint64) {
 	var r struct {
 		Host  string `json:"host"`
@@ -75,7 +81,7 @@
 	return r.Host, r.Yard, r.Baton
 }
 
-// DecodeReport reads a worker's report.
+// DecodeReport decodes a worker's report.
 func DecodeReport(b []byte) (*model.Report, error) {
 	var r reportBody
 	if err := json.Unmarshal(b, &r); err != nil {
@@ -132,7 +138,7 @@
 	return append(b, ']')
 }
 
-// ReportAnswer is the 200 to a report.
+// ReportAnswer returns the body of the 200 answer to a report.
 func ReportAnswer(token uint64, orders []model.Order) []byte {
 	b := append(make([]byte, 0, 64+80*len(orders)), `{"baton":`...)
 	b = strconv.AppendUint(b, token, 10)
@@ -141,7 +147,7 @@
 	return append(b, '}')
 }
 
-// Orders is the body of a direct command.
+// Orders returns the body of a request that the leader sends to a worker.
 func Orders(token, session uint64, orders []model.Order) []byte {
 	b := append(make([]byte, 0, 64+80*len(orders)), `{"baton":`...)
 	b = strconv.AppendUint(b, token, 10)
--- a/internal/wire/rollout.go
+++ b/internal/wire/rollout.go
@@ -13,7 +13,7 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Paths of services and their roll-outs; ours, beside the protocol's.
+// Paths of services and their roll-outs, which aren't part of the protocol.
 const (
 	PathServices = "/services"
 	VerbStart    = "rollouts"
@@ -24,8 +24,8 @@
 	VerbHistory  = "history"
 )
 
-// Share is a number of instances, or a percentage of all of them. In JSON it is a
-// number such as 2, or a text such as "25%".
+// Share is a number of instances or a percentage of all instances. In JSON it is a number
+// such as 2 or a string such as "25%".
 type Share struct {
 	N       int
 	Percent float64 // used if above 0
@@ -60,7 +60,7 @@
 	return strconv.Itoa(s.N)
 }
 
-// Of is how many of n instances the share is; a percentage is rounded up.
+// Of returns the share of n instances as a number. A percentage is rounded up.
 func (s Share) Of(n int) int {
 	if s.Percent > 0 {
 		return min(n, int(math.Ceil(float64(n)*s.Percent/100-1e-9)))
@@ -68,52 +68,53 @@
 	return s.N
 }
 
-// Health says how an instance of a service is checked: by HTTP on its own machine.
+// Health configures the HTTP health check of a service's instances. The check goes to the
+// instance's own machine.
 type Health struct {
 	Port int `json:"port"`
-	// PerTask: task k listens on Port+k, so that some fit on one machine.
+	// PerTask means that task k listens on Port+k, so that several tasks fit on one machine.
 	PerTask bool `json:"per_task,omitempty"`
 	// Path may contain {task} and {job}.
 	Path      string  `json:"path"`
 	IntervalS float64 `json:"interval_s,omitempty"`
 	TimeoutS  float64 `json:"timeout_s,omitempty"`
-	// SlowS: an answer that takes longer is a failure.
+	// SlowS is the longest time an answer may take; a slower answer is a failure.
 	SlowS  float64 `json:"slow_s,omitempty"`
-	DelayS float64 `json:"delay_s,omitempty"` // before the first check
-	Passes int     `json:"passes,omitempty"`  // in a row, until healthy
-	Fails  int     `json:"fails,omitempty"`   // in a row, until sick
-	Flaps  int     `json:"flaps,omitempty"`   // failures among the last 20 checks, until sick
+	DelayS float64 `json:"delay_s,omitempty"` // delay before the first check
+	Passes int     `json:"passes,omitempty"`  // consecutive successes until the instance is healthy
+	Fails  int     `json:"fails,omitempty"`   // consecutive failures until the instance is sick
+	Flaps  int     `json:"flaps,omitempty"`   // failures among the last 20 checks until it is sick
 }
 
-// Rollout is what a user asks for when a new version of a service is to be rolled
-// out.
+// Rollout is a user's request to roll out a new version of a service.
 type Rollout struct {
 	Job *model.Spec `json:"-"`
-	// From adopts a running service job as the version that is replaced, in the
-	// first roll-out of a service.
+	// From is the running service job that the roll-out replaces. It is for the first
+	// roll-out of a service.
 	From string `json:"from,omitempty"`
 	By   string `json:"by,omitempty"`
-	// Steps are how many instances are new after each step; the last is all.
+	// Steps lists how many instances run the new version after each step. The last step
+	// covers all instances.
 	Steps []Share `json:"steps,omitempty"`
-	// ByZone replaces the instances of one zone after the other, a step each.
+	// ByZone replaces the instances zone by zone, one step for each zone.
 	ByZone      bool  `json:"by_zone,omitempty"`
-	Surge       Share `json:"surge"`       // instances beyond all
-	Unavailable Share `json:"unavailable"` // instances fewer than all that are healthy
-	// BakeS is how long a step is watched before the next begins, WindowS how long
-	// the last one is, StallS for how long it may come no further.
+	Surge       Share `json:"surge"`       // most instances above the normal number
+	Unavailable Share `json:"unavailable"` // most healthy instances missing from the normal number
+	// BakeS is how long the roll-out observes a step before the next one begins, WindowS
+	// how long it observes the last step, and StallS how long it may make no progress.
 	BakeS   float64 `json:"bake_s,omitempty"`
 	WindowS float64 `json:"window_s,omitempty"`
 	StallS  float64 `json:"stall_s,omitempty"`
-	// Tolerate is how many sick instances don't stop the roll-out, Ends how often
-	// an instance may end by itself until it counts as sick.
+	// Tolerate is how many sick instances the roll-out accepts. Ends is how often an
+	// instance ends by itself until it counts as sick.
 	Tolerate Share `json:"tolerate"`
 	Ends     int   `json:"ends,omitempty"`
-	// After is a service whose own roll-out has to succeed first.
+	// After is a service whose roll-out must succeed first.
 	After  string  `json:"after,omitempty"`
 	Health *Health `json:"health,omitempty"`
 }
 
-// ValidService reports whether name can be a service's.
+// ValidService reports whether name is a valid name of a service.
 func ValidService(name string) bool {
 	if name == "" || len(name) > 40 {
 		return false
@@ -127,15 +128,15 @@
 	return true
 }
 
-// What is not stated.
+// Defaults of fields that a request leaves out, and the longest time, all in seconds.
 const (
 	defaultInterval = 5
 	defaultStall    = 900
-	mostSeconds     = 7 * 24 * 3600
+	maxDurationS    = 7 * 24 * 3600
 )
 
-// DecodeRollout reads and checks a request for a roll-out; what it leaves out is
-// filled in. The error is for the user.
+// DecodeRollout decodes and validates a request for a roll-out, and sets defaults for the
+// fields that it leaves out. The error text is sent to the user.
 func DecodeRollout(b []byte) (*Rollout, error) {
 	t := bytes.TrimLeft(b, " \t\r\n")
 	if len(t) == 0 || t[0] != '{' || !json.Valid(b) {
@@ -200,15 +201,15 @@
 		return errors.New("fields steps and by_zone: either the one or the other")
 	}
 	for _, f := range []struct {
-		name string
-		x    *float64
-		or   float64
+		name     string
+		x        *float64
+		fallback float64
 	}{{"bake_s", &r.BakeS, 0}, {"window_s", &r.WindowS, 0}, {"stall_s", &r.StallS, defaultStall}} {
-		if !(*f.x >= 0) || *f.x > mostSeconds {
+		if !(*f.x >= 0) || *f.x > maxDurationS {
 			return fmt.Errorf("field %s is not a time up to a week", f.name)
 		}
 		if *f.x == 0 {
-			*f.x = f.or
+			*f.x = f.fallback
 		}
 	}
 	if r.Ends < 0 || r.Ends > 1000 {
@@ -258,13 +259,13 @@
 		}
 	}
 	for _, f := range []struct {
-		name   string
-		x      *float64
-		or, lo float64
-		hi     float64
+		name         string
+		x            *float64
+		fallback, lo float64
+		hi           float64
 	}{{"interval_s", &h.IntervalS, defaultInterval, 0.5, 3600}, {"timeout_s", &h.TimeoutS, 2, 0.05, 30}, {"delay_s", &h.DelayS, 0, 0, 3600}} {
 		if *f.x == 0 {
-			*f.x = f.or
+			*f.x = f.fallback
 		}
 		if !(*f.x >= f.lo) || *f.x > f.hi {
 			return fmt.Errorf("field health.%s is not from %g to %g", f.name, f.lo, f.hi)
@@ -277,12 +278,12 @@
 		return errors.New("field health.slow_s is not a time up to timeout_s")
 	}
 	for _, f := range []struct {
-		name string
-		x    *int
-		or   int
+		name     string
+		x        *int
+		fallback int
 	}{{"passes", &h.Passes, 2}, {"fails", &h.Fails, 3}, {"flaps", &h.Flaps, 6}} {
 		if *f.x == 0 {
-			*f.x = f.or
+			*f.x = f.fallback
 		}
 		if *f.x < 1 || *f.x > 20 {
 			return fmt.Errorf("field health.%s is not from 1 to 20", f.name)
@@ -291,15 +292,15 @@
 	return nil
 }
 
-// Asked is who asks for something about a service, and why.
-type Asked struct {
+// RequestInfo names who makes a request and why.
+type RequestInfo struct {
 	By  string `json:"by,omitempty"`
 	Why string `json:"why,omitempty"`
 }
 
-// DecodeAsked reads the body of a request that may be empty.
-func DecodeAsked(b []byte) (Asked, error) {
-	var a Asked
+// DecodeRequestInfo decodes a request's body, which may be empty.
+func DecodeRequestInfo(b []byte) (RequestInfo, error) {
+	var a RequestInfo
 	if len(bytes.TrimSpace(b)) == 0 {
 		return a, nil
 	}
@@ -310,45 +311,45 @@
 	return a, nil
 }
 
-// ServiceView is how a service and its roll-out stand.
+// ServiceView is the state of a service and of its roll-out.
 type ServiceView struct {
 	Service string       `json:"service"`
-	Version string       `json:"version,omitempty"` // the job that serves
-	Ended   bool         `json:"ended,omitempty"`   // withdrawn
+	Version string       `json:"version,omitempty"` // the job that is the service's current version
+	Ended   bool         `json:"ended,omitempty"`   // the service was withdrawn
 	Rollout *RolloutView `json:"rollout,omitempty"`
 }
 
-// RolloutView is how a roll-out stands, or how it ended.
+// RolloutView is the state of a roll-out under way or the result of a finished one.
 type RolloutView struct {
 	ID    string `json:"id"` // service/number
 	From  string `json:"from,omitempty"`
 	To    string `json:"to"`
 	By    string `json:"by,omitempty"`
-	AtMS  int64  `json:"at_ms"`            // of the time of day
-	EndMS int64  `json:"end_ms,omitempty"` // 0: under way
-	// State is one of waiting, rolling, baking, watching, returning, stuck, and at
-	// the end done, rolled back, withdrawn or stuck.
+	AtMS  int64  `json:"at_ms"`            // start, in Unix milliseconds
+	EndMS int64  `json:"end_ms,omitempty"` // 0 while the roll-out is under way
+	// State is waiting, rolling, baking, watching, returning or stuck, and after the end
+	// done, rolled back, withdrawn or stuck.
 	State  string `json:"state"`
 	Paused bool   `json:"paused,omitempty"`
-	Step   int    `json:"step"` // from 1
+	Step   int    `json:"step"` // counted from 1
 	Steps  int    `json:"steps"`
-	New    int    `json:"new"` // instances wanted of the new version
-	Old    int    `json:"old"`
+	New    int    `json:"new"` // intended instances of the new version
+	Old    int    `json:"old"` // the same of the old version
 	All    int    `json:"all"`
-	// Why it is paused, stopped or went back, in one sentence.
+	// Why says in one sentence why the roll-out is paused, stopped or rolled back.
 	Why      string   `json:"why,omitempty"`
 	Evidence []string `json:"evidence,omitempty"`
-	// Live is what the leader sees; other nodes don't know it.
+	// Live is the current state of the instances. Only the leader knows it.
 	Live *RolloutLive `json:"live,omitempty"`
 }
 
-// RolloutLive is what the leader sees of a roll-out's instances now.
+// RolloutLive is the current state of a roll-out's instances.
 type RolloutLive struct {
-	NewHealthy int     `json:"new_healthy"`
-	NewSick    int     `json:"new_sick"`
-	NewUnknown int     `json:"new_unknown"` // a check can't be made, or not enough were yet
-	OldHealthy int     `json:"old_healthy"`
-	CheckP50MS float64 `json:"check_p50_ms,omitempty"`
-	CheckP99MS float64 `json:"check_p99_ms,omitempty"`
-	EveryS     float64 `json:"check_every_s,omitempty"` // in fact
+	NewHealthy  int     `json:"new_healthy"`
+	NewSick     int     `json:"new_sick"`
+	NewUnknown  int     `json:"new_unknown"` // checks are impossible or too few so far
+	OldHealthy  int     `json:"old_healthy"`
+	CheckP50MS  float64 `json:"check_p50_ms,omitempty"`
+	CheckP99MS  float64 `json:"check_p99_ms,omitempty"`
+	CheckEveryS float64 `json:"check_every_s,omitempty"` // actual interval between the checks of an instance
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -7,13 +7,14 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Cond is a condition of a transaction: the key has this version (0: absent).
+// Cond is a condition of a transaction: the key's revision is Stamp, or the key doesn't
+// exist if Stamp is 0.
 type Cond struct {
 	Path  string `json:"path"`
 	Stamp uint64 `json:"stamp"`
 }
 
-// Change is a put or a delete.
+// Change is a put or a delete. Permit is the lease that a put attaches the key to.
 type Change struct {
 	Write  string          `json:"write,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
@@ -21,27 +22,27 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Txn is a transaction of the state service.
+// Txn is a transaction of the state service: if all conditions hold, all changes apply.
 type Txn struct {
 	When  []Cond   `json:"when"`
 	Apply []Change `json:"apply,omitempty"`
 }
 
-// Item is a key with its value.
+// Item is a key with its value and the revision of its last change, Stamp.
 type Item struct {
 	Path  string          `json:"path"`
 	Value json.RawMessage `json:"value"`
 	Stamp uint64          `json:"stamp"`
 }
 
-// Page is the answer to a range read.
+// Page is the answer to a range read at the revision Epoch.
 type Page struct {
 	Items   []Item `json:"items"`
 	HasNext bool   `json:"has_next"`
 	Epoch   uint64 `json:"epoch"`
 }
 
-// Event is a change in a watch.
+// Event is a put or a delete that a watch reports.
 type Event struct {
 	Write  string          `json:"write"`
 	Value  json.RawMessage `json:"value"`
@@ -49,10 +50,10 @@
 	Delete string          `json:"delete"`
 }
 
-// News is the answer of a watch.
-type News struct {
-	Epoch uint64  `json:"epoch"`
-	News  []Event `json:"news"`
+// WatchResponse is the answer to a watch: the events up to the revision Epoch.
+type WatchResponse struct {
+	Epoch  uint64  `json:"epoch"`
+	Events []Event `json:"news"`
 }
 
 // Outcome is the answer to a transaction.
@@ -61,11 +62,11 @@
 	Failed []string
 }
 
-// The decoders of the state service's answers insist on the fields that the
-// protocol promises. An answer such as null would otherwise read as a page
-// without keys, or as a confirmation, and everything known would be dropped.
+// The decoders of the state service's answers require the fields that the protocol
+// defines. Otherwise an answer such as null would decode as a page without keys or as a
+// confirmation, and the replica would drop all its keys.
 
-// DecodePage reads the answer to a range read.
+// DecodePage decodes the answer to a range read.
 func DecodePage(b []byte) (Page, error) {
 	var r struct {
 		Items   *[]Item `json:"items"`
@@ -80,34 +81,34 @@
 	}
 	for _, it := range *r.Items {
 		if it.Path == "" || it.Stamp == 0 {
-			return Page{}, fmt.Errorf("page: an item without path or stamp")
+			return Page{}, fmt.Errorf("page: an item has no path or no stamp")
 		}
 	}
 	return Page{*r.Items, r.HasNext, *r.Epoch}, nil
 }
 
-// DecodeNews reads the answer of a watch.
-func DecodeNews(b []byte) (News, error) {
+// DecodeWatchResponse decodes the answer to a watch.
+func DecodeWatchResponse(b []byte) (WatchResponse, error) {
 	var r struct {
 		Epoch *uint64  `json:"epoch"`
 		News  *[]Event `json:"news"`
 	}
 	if err := json.Unmarshal(b, &r); err != nil {
-		return News{}, fmt.Errorf("watch: %s", clip(err.Error()))
+		return WatchResponse{}, fmt.Errorf("watch: %s", clip(err.Error()))
 	}
 	if r.Epoch == nil || r.News == nil {
-		return News{}, fmt.Errorf("watch: no epoch or news in %q", clip(string(b)))
+		return WatchResponse{}, fmt.Errorf("watch: no epoch or news in %q", clip(string(b)))
 	}
 	for _, e := range *r.News {
 		if (e.Write == "") == (e.Delete == "") || e.Stamp == 0 {
-			return News{}, fmt.Errorf("watch: an event that is neither a write nor a delete, or has no stamp")
+			return WatchResponse{}, fmt.Errorf("watch: an event is neither a write nor a delete, or has no stamp")
 		}
 	}
-	return News{*r.Epoch, *r.News}, nil
+	return WatchResponse{*r.Epoch, *r.News}, nil
 }
 
-// DecodeOutcome reads the answer to a transaction; conflict says that it was a
-// refusal, which names the keys that failed.
+// DecodeOutcome decodes the answer to a transaction. With conflict set, the answer is a
+// refusal and must name the keys whose conditions failed.
 func DecodeOutcome(b []byte, conflict bool) (Outcome, error) {
 	var r struct {
 		Epoch  *uint64  `json:"epoch"`
@@ -122,7 +123,7 @@
 	return Outcome{*r.Epoch, r.Failed}, nil
 }
 
-// DecodeItem reads the answer to a read of the key.
+// DecodeItem decodes the answer to a read of one key.
 func DecodeItem(b []byte, key string) (Item, error) {
 	var it Item
 	if err := json.Unmarshal(b, &it); err != nil {
@@ -134,8 +135,8 @@
 	return it, nil
 }
 
-// IsAbsent reports whether the body of a 404 to a read says that the key does
-// not exist.
+// IsAbsent reports whether the body of a 404 answer to a read says that the key doesn't
+// exist.
 func IsAbsent(b []byte) bool {
 	var r struct {
 		Epoch *uint64 `json:"epoch"`
@@ -143,10 +144,10 @@
 	return json.Unmarshal(b, &r) == nil && r.Epoch != nil
 }
 
-// TTL is the body of a request for a lease.
-func TTL(ms int) []byte { return []byte(`{"ttl_ms":` + strconv.Itoa(ms) + `}`) }
+// LeaseRequest returns the body of a request for a lease with a TTL in milliseconds.
+func LeaseRequest(ms int) []byte { return []byte(`{"ttl_ms":` + strconv.Itoa(ms) + `}`) }
 
-// DecodeGrant reads the lease from the answer.
+// DecodeGrant decodes the id of the lease from the answer to a request for one.
 func DecodeGrant(b []byte) (uint64, error) {
 	var r struct {
 		Permit uint64 `json:"permit"`
--- a/internal/wire/units.go
+++ b/internal/wire/units.go
@@ -11,32 +11,33 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Paths of counted resources; ours, beside the protocol's.
+// Paths and bounds of counted resources, which aren't part of the protocol.
 const (
-	PathUnits   = "/units"
-	VerbRemove  = "remove"
-	mostAsks    = 8
-	mostAskable = 1_000_000
+	PathUnits    = "/units"
+	VerbRemove   = "remove"
+	maxUnitAsks  = 8
+	maxUnitCount = 1_000_000
 )
 
-// unitAsk is an optional field of a submission, beside the protocol's.
+// unitAsk is a request for units of a counted resource. The field of the submission is
+// optional and not part of the protocol.
 type unitAsk struct {
 	Name  string   `json:"name"`
-	Count *float64 `json:"count"` // 1 if it is left out
-	Per   string   `json:"per"`   // "task" if it is left out, or "job"
+	Count *float64 `json:"count"` // default 1
+	Per   string   `json:"per"`   // "task" (default) or "job"
 }
 
-// whole reads a count as people may write it.
-func whole(field string, x float64, lo, hi int) (int, error) {
+// decodeCount returns x as an integer from lo to hi. JSON numbers such as 2.0 are accepted.
+func decodeCount(field string, x float64, lo, hi int) (int, error) {
 	if x != math.Trunc(x) || !(x >= float64(lo)) || x > float64(hi) {
 		return 0, fmt.Errorf("field %s: %v is no whole number from %d to %d", field, x, lo, hi)
 	}
 	return int(x), nil
 }
 
-func decodeAsks(asks []unitAsk) ([]model.UnitRequest, error) {
-	if len(asks) > mostAsks {
-		return nil, fmt.Errorf("field units: at most %d resources", mostAsks)
+func decodeUnitAsks(asks []unitAsk) ([]model.UnitRequest, error) {
+	if len(asks) > maxUnitAsks {
+		return nil, fmt.Errorf("field units: at most %d resources", maxUnitAsks)
 	}
 	var out []model.UnitRequest
 	seen := map[string]bool{}
@@ -51,7 +52,7 @@
 		u := model.UnitRequest{Name: a.Name, Quantity: 1}
 		if a.Count != nil {
 			var err error
-			if u.Quantity, err = whole("units: count of "+clip(a.Name), *a.Count, 1, mostAskable); err != nil {
+			if u.Quantity, err = decodeCount("units: count of "+clip(a.Name), *a.Count, 1, maxUnitCount); err != nil {
 				return nil, err
 			}
 		}
@@ -67,24 +68,26 @@
 	return out, nil
 }
 
-// Units is what an operator sets of a resource; what is left out stays as it is.
-type Units struct {
+// UnitsUpdate is an operator's change to a resource. Fields that are nil keep their values.
+type UnitsUpdate struct {
 	Count    *int
 	External *int
 	Teams    map[string]Part
-	Reserve  map[string]int // by priority: low, normal, high, production
-	Shed     bool           // stop what exceeds the count
+	Reserve  map[string]int // keyed by priority: low, normal, high, production
+	Shed     bool           // stop tasks until usage is within the count
 	By       string
 }
 
-// Part is what a team may have of a resource.
+// Part is a team's limit of units of a resource, and the number of units below which the
+// team's jobs go first.
 type Part struct {
 	Most  int `json:"most,omitempty"`
 	Share int `json:"share,omitempty"`
 }
 
-// DecodeUnits reads what is to be set of a resource. The error is for the operator.
-func DecodeUnits(b []byte) (*Units, error) {
+// DecodeUnits decodes an operator's change to a resource. The error text is sent to the
+// operator.
+func DecodeUnits(b []byte) (*UnitsUpdate, error) {
 	if t := bytes.TrimLeft(b, " \t\r\n"); len(t) == 0 || t[0] != '{' || !json.Valid(b) {
 		return nil, errors.New("not a JSON object")
 	}
@@ -99,7 +102,7 @@
 	if err := json.Unmarshal(b, &x); err != nil {
 		return nil, fmt.Errorf("malformed: %s", clip(err.Error()))
 	}
-	u := &Units{Teams: x.Teams, Shed: x.Shed, By: clip(x.By)}
+	u := &UnitsUpdate{Teams: x.Teams, Shed: x.Shed, By: clip(x.By)}
 	for _, f := range []struct {
 		name string
 		from *float64
@@ -108,14 +111,14 @@
 		if f.from == nil {
 			continue
 		}
-		n, err := whole(f.name, *f.from, 0, mostAskable)
+		n, err := decodeCount(f.name, *f.from, 0, maxUnitCount)
 		if err != nil {
 			return nil, err
 		}
 		*f.to = &n
 	}
 	for name, v := range x.Reserve {
-		n, err := whole("reserve", v, 0, mostAskable)
+		n, err := decodeCount("reserve", v, 0, maxUnitCount)
 		if err != nil {
 			return nil, err
 		}
@@ -127,7 +130,7 @@
 	return u, nil
 }
 
-// UnitsView is how a resource stands.
+// UnitsView is the state of a resource.
 type UnitsView struct {
 	Name     string          `json:"name"`
 	Count    int             `json:"count"`
@@ -138,30 +141,31 @@
 	By       string          `json:"by,omitempty"`
 	AtMS     int64           `json:"at_ms,omitempty"`
 	Trouble  string          `json:"trouble,omitempty"`
-	// Live is what the leader sees; other nodes don't know it.
+	// Live is the current usage. Only the leader knows it.
 	Live *UnitsLive `json:"live,omitempty"`
 }
 
-// UnitsLive is what the leader sees of a resource now.
+// UnitsLive is the current usage of a resource.
 type UnitsLive struct {
 	Used    int     `json:"used"`
 	Free    int     `json:"free"`
-	Jobs    int     `json:"jobs"`    // that ask for it and are not over
-	Waiting int     `json:"waiting"` // of them, with tasks that wait
-	BusyS   float64 `json:"busy_s"`  // unit seconds in use in this term
-	IdleS   float64 `json:"idle_s"`  // unit seconds free while jobs waited
+	Jobs    int     `json:"jobs"`    // unfinished jobs that request the resource
+	Waiting int     `json:"waiting"` // jobs among them with waiting tasks
+	BusyS   float64 `json:"busy_s"`  // unit-seconds in use during this term
+	IdleS   float64 `json:"idle_s"`  // unit-seconds free while jobs waited
 	WaitP50 float64 `json:"wait_p50_s,omitempty"`
 	WaitP99 float64 `json:"wait_p99_s,omitempty"`
-	// Holders, in the overview of one resource.
+	// Holders is set only in the overview of a single resource.
 	Holders []HolderView `json:"holders,omitempty"`
 	More    int          `json:"more,omitempty"`
 }
 
-// HolderView is who holds units, since when, and what they wait for to be free.
+// HolderView is a holder of units: for how long it has held them, and which event releases
+// them.
 type HolderView struct {
 	Units   int     `json:"units"`
 	Job     string  `json:"job"`
-	Task    int     `json:"task"` // -1: the job as a whole
+	Task    int     `json:"task"` // -1 if the whole job holds the units
 	Attempt uint64  `json:"attempt,omitempty"`
 	Machine string  `json:"machine,omitempty"`
 	ForS    float64 `json:"for_s"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire is the one place that knows the words the deployments use on
-// the network. Everything else speaks the field's terms of package model.
+// Package wire encodes and decodes the messages of all network interfaces. It maps the
+// names of the protocol (such as ref, shard, crew or baton) to the terms of package
+// model, which the other packages use.
 package wire
 
 import (
@@ -14,7 +15,7 @@
 	PathWithdraw     = "withdraw"
 	PathHealth       = "/healthz"
 	PathReport       = "/hello"
-	PathOverview     = "/overview" // ours, read-only
+	PathOverview     = "/overview" // not part of the protocol; read-only
 	PathOrders       = "/orders"
 	PathStatus       = "/status"
 	PathMachineTypes = "/machine_types"
@@ -27,6 +28,8 @@
 	jobPrefix        = "j-"
 )
 
+// clip limits a text to 120 bytes and replaces quotes, backslashes and characters other
+// than printable ASCII by dots, so that it can stand in a one-line error.
 func clip(s string) string {
 	if len(s) > 120 {
 		s = s[:120]
@@ -39,21 +42,21 @@
 	}, s)
 }
 
-// Encode makes JSON of a value whose types are known to be encodable.
+// Encode returns v as JSON. It panics if a type in v can't be encoded.
 func Encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("wire: " + err.Error()) // a type of ours that JSON cannot hold
+		panic("wire: " + err.Error())
 	}
 	return b
 }
 
-// Error is the body of a refusal.
+// Error returns the JSON body of an error response.
 func Error(text string) []byte {
 	return Encode(struct {
 		Error string `json:"error"`
 	}{text})
 }
 
-// Decode reads a value of ours.
+// Decode parses JSON into v. It is for records that Encode has written.
 func Decode(b []byte, v any) error { return json.Unmarshal(b, v) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,7 +38,7 @@
 		{good, `[]`}, {good, `null`}, {good, ``}, {good, `{`}, {good, good + `x`}, {good, `{"ref":`},
 	} {
 		if s, err := DecodeJob([]byte(strings.Replace(good, r[0], r[1], 1))); err == nil {
-			t.Errorf("%q for %.20q was taken: %+v", r[1], r[0], s)
+			t.Errorf("%q for %.20q was accepted: %+v", r[1], r[0], s)
 		}
 	}
 }
@@ -53,19 +53,19 @@
 	for _, bad := range []string{``, `{}`, `{"host":"a b","hull":"g","tenure":1}`, `{"host":"a","hull":"g","tenure":1,"shards":[{"shard":"x","phase":"running"}]}`,
 		`{"host":"a","hull":"g","tenure":1,"shards":[{"shard":"j-1/0","phase":"dancing"}]}`} {
 		if _, err := DecodeReport([]byte(bad)); err == nil {
-			t.Errorf("%q was taken", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
 
-// TestStrictAnswers guards against answers that make no sense but decode: null
-// once read as a page without keys, and tasks were started twice.
+// TestStrictAnswers checks that answers without the required fields are refused. An answer of
+// null once decoded as a page without keys, and tasks were started twice.
 func TestStrictAnswers(t *testing.T) {
 	for _, b := range []string{``, `null`, `{}`, `[]`, `7`, `{"epoch":1}`, `{"items":[{}],"epoch":1,"news":[{}],"hosts":[{}]}`} {
 		if p, err := DecodePage([]byte(b)); err == nil {
 			t.Errorf("page %q: %+v", b, p)
 		}
-		if n, err := DecodeNews([]byte(b)); err == nil {
+		if n, err := DecodeWatchResponse([]byte(b)); err == nil {
 			t.Errorf("news %q: %+v", b, n)
 		}
 		if o, err := DecodeOutcome([]byte(b), true); err == nil {
@@ -82,9 +82,9 @@
 		}
 	}
 	if o, err := DecodeOutcome([]byte(`{"epoch":0}`), false); err != nil || o.Epoch != 0 {
-		t.Errorf("an empty store's answer: %+v %v", o, err)
+		t.Errorf("answer of an empty store: %+v %v", o, err)
 	}
 	if p, err := DecodePage([]byte(`{"items":[],"has_next":false,"epoch":0}`)); err != nil || p.HasNext {
-		t.Errorf("an empty store's page: %v", err)
+		t.Errorf("page of an empty store: %v", err)
 	}
 }
