--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -31,7 +31,7 @@
 	// Estimates holds corrections of the owners' estimates.
 	Estimates estimates.Classes
 	// Units holds the counted resources.
-	Units *units.Book
+	Units *units.Inventory
 	// SpotInterruptions is how many spot machines the cloud has taken back, SpotHours over how
 	// many machine hours.
 	SpotInterruptions, SpotHours float64
@@ -77,7 +77,7 @@
 // New returns an empty ledger for a term. Load fills it from the replica.
 func New(env actor.Env, store *statestore.Store, token uint64, teams []settings.Team) *Ledger {
 	l := &Ledger{env: env, store: store, token: token, Jobs: map[string]*Job{}, Machines: map[string]*Machine{},
-		Teams: map[string]*Team{}, Returned: map[string]bool{}, Estimates: estimates.Classes{}, Units: units.NewBook(), Types: map[string]*model.MachineType{}, MaxOps: store.Config().TxnOps}
+		Teams: map[string]*Team{}, Returned: map[string]bool{}, Estimates: estimates.Classes{}, Units: units.NewInventory(), Types: map[string]*model.MachineType{}, MaxOps: store.Config().TxnOps}
 	for _, t := range teams {
 		l.Teams[t.Name] = &Team{Team: t}
 	}
@@ -131,7 +131,7 @@
 	}
 	delete(l.Jobs, j.Spec.ID)
 	for _, u := range j.unitRequests {
-		l.Units.All[u.resource].Asked--
+		l.Units.All[u.resource].RequestingJobs--
 	}
 	for i, x := range l.order {
 		if x == j {
--- a/internal/ledger/units.go
+++ b/internal/ledger/units.go
@@ -18,7 +18,7 @@
 func (l *Ledger) resolveUnits(j *Job) {
 	for _, u := range j.Spec.Units {
 		i := l.Units.Index(u.Name)
-		l.Units.All[i].Asked++
+		l.Units.All[i].RequestingJobs++
 		j.unitRequests = append(j.unitRequests, unitRequest{i, u.Quantity, u.PerJob})
 	}
 }
@@ -30,7 +30,7 @@
 	for _, u := range j.unitRequests {
 		r := l.Units.All[u.resource]
 		if j.EverPlaced == 1 && j.Placed == 1 && !p.Inherited {
-			r.Waited(l.env.Now() - j.AcceptedAt)
+			r.RecordWait(l.env.Now() - j.AcceptedAt)
 		}
 		switch {
 		case !u.perJob:
@@ -48,9 +48,9 @@
 		r := l.Units.All[u.resource]
 		switch {
 		case !u.perJob:
-			r.Give(p, j.Spec.Team, j.Spec.Priority)
+			r.Release(p, j.Spec.Team, j.Spec.Priority)
 		case j.Placed == 0: // its last placement
-			r.Give(j, j.Spec.Team, j.Spec.Priority)
+			r.Release(j, j.Spec.Team, j.Spec.Priority)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		return true
 	}
 	for _, u := range j.unitRequests {
-		if r := l.Units.All[u.resource]; r.Used > r.There() {
+		if r := l.Units.All[u.resource]; r.Used > r.Capacity() {
 			return true
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,8 +34,8 @@
 	store      *statestore.Store
 	election   *leader.Actor
 	admission  *admission.Actor
-	rolloutAPI *rollout.Door
-	unitsAPI   *units.Door
+	rolloutAPI *rollout.Handler
+	unitsAPI   *units.Handler
 	options    Options
 	peers      *peer.Actor
 	images     *images.Actor
@@ -176,13 +176,13 @@
 	n.gate = intake.NewFairQueue(env.Rand(), n.weight)
 	n.gate.TryAcquire, n.gate.Rate = n.store.AdmitSubmission, n.store.SubmissionRate
 	n.admission.Gate = n.gate
-	n.rolloutAPI = rollout.NewDoor(env, n.store, f.Teams)
+	n.rolloutAPI = rollout.NewHandler(env, n.store, f.Teams)
 	n.rolloutAPI.Check = n.admission.Check
 	var teams []string
 	for _, t := range f.Teams {
 		teams = append(teams, t.Name)
 	}
-	n.unitsAPI = units.NewDoor(env, n.store, teams)
+	n.unitsAPI = units.NewHandler(env, n.store, teams)
 	n.unitsAPI.Live = func(name string, holders bool) *wire.UnitsLive {
 		if n.term == nil {
 			return nil
@@ -198,7 +198,7 @@
 	n.reporters = forward.NewRecentSet(reporterWindow(f.Workers.ReportS))
 	n.forwarder = forward.NewForwarder(env, set.Label, n.leaderEndpoint)
 	n.forwarder.OnRefused = n.onNotForwarded
-	n.rolloutAPI.Understood = func() bool { return n.peers.AllCanRead(ledger.ServiceFormat) }
+	n.rolloutAPI.RolloutsSupported = func() bool { return n.peers.AllCanRead(ledger.ServiceFormat) }
 	n.rolloutAPI.Live = func(name string) (*wire.RolloutLive, string) {
 		if n.term == nil {
 			return nil, ""
@@ -388,7 +388,7 @@
 	t.lastUnitsCount = n.env.Now()
 	t.units.Load()
 	t.ledger.Load()
-	t.rollouts = rollout.New(n.env, t.ledger, n.store, token, rollout.Config{Share: f.Limits.CPUShare, Report: seconds(f.Workers.ReportS)})
+	t.rollouts = rollout.New(n.env, t.ledger, n.store, token, rollout.Config{CPUShare: f.Limits.CPUShare, ReportInterval: seconds(f.Workers.ReportS)})
 	t.rollouts.OnDeposed = func() { n.election.Deposed(token) }
 	t.units.OnDeposed, t.units.OnChange = t.rollouts.OnDeposed, t.schedulePass
 	t.workers = workers.New(n.env, t.ledger, t.token, workers.Config{Lease: seconds(f.Workers.LeaseS), Hold: n.hold, Report: seconds(f.Workers.ReportS)})
--- a/internal/node/units.go
+++ b/internal/node/units.go
@@ -29,11 +29,11 @@
 	}
 	t.lastUnitsCount = now
 	for _, r := range t.ledger.Units.All {
-		if r.Asked == 0 && r.Used == 0 {
+		if r.RequestingJobs == 0 && r.Used == 0 {
 			continue
 		}
-		r.Count(span, t.queues.Waiting(r) > 0)
-		if r.Rec != nil && r.Rec.Shed && !r.Broken && r.Used > r.There() {
+		r.RecordUsage(span, t.queues.Waiting(r) > 0)
+		if r.Record != nil && r.Record.Shed && !r.Unreadable && r.Used > r.Capacity() {
 			t.shed(r)
 		}
 	}
@@ -42,7 +42,7 @@
 // shed stops the tasks that exceed a lowered count: those of the lowest priority first, and
 // among these the newest first.
 func (t *term) shed(r *units.Resource) {
-	over := r.Used - r.There()
+	over := r.Used - r.Capacity()
 	var ps []*ledger.Placement
 	for who, n := range r.Holders {
 		switch h := who.(type) {
@@ -81,8 +81,8 @@
 	if r == nil {
 		return &wire.UnitsLive{}
 	}
-	v := &wire.UnitsLive{Used: r.Used, Free: max(0, r.There()-r.Used), Jobs: r.Asked, Waiting: t.queues.Waiting(r), BusyS: roundToTenth(r.BusyS), IdleS: roundToTenth(r.IdleS),
-		WaitP50: roundToTenth(r.WaitS(50)), WaitP99: roundToTenth(r.WaitS(99))}
+	v := &wire.UnitsLive{Used: r.Used, Free: max(0, r.Capacity()-r.Used), Jobs: r.RequestingJobs, Waiting: t.queues.Waiting(r), BusyS: roundToTenth(r.BusyS), IdleS: roundToTenth(r.IdleS),
+		WaitP50: roundToTenth(r.WaitPercentileS(50)), WaitP99: roundToTenth(r.WaitPercentileS(99))}
 	if !holders {
 		return v
 	}
--- a/internal/placement/units.go
+++ b/internal/placement/units.go
@@ -78,7 +78,7 @@
 // before compares two jobs that wait for a resource: teams below their share come first,
 // then higher priority, then older jobs.
 func before(r *units.Resource, a, b *ledger.Job) int {
-	if x, y := r.Under(a.Spec.Team), r.Under(b.Spec.Team); x != y {
+	if x, y := r.UnderShare(a.Spec.Team), r.UnderShare(b.Spec.Team); x != y {
 		return trueFirst(x)
 	}
 	return cmp.Or(cmp.Compare(b.Spec.Priority, a.Spec.Priority), cmp.Compare(a.AcceptedAt, b.AcceptedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
@@ -148,7 +148,7 @@
 			sum += e.n
 			h.at = e.at
 		}
-		if sum < need || r.There() < need {
+		if sum < need || r.Capacity() < need {
 			continue // its units won't be free when all holders end, so it must not block others
 		}
 		if old != nil {
@@ -200,7 +200,7 @@
 		return true
 	}
 	if r, need := l.FirstShortage(j, n); r != nil {
-		j.WaitReason = r.Why(need, j.Spec.Team, j.Spec.Priority) + describeHolder(r) + q.position(r, j)
+		j.WaitReason = r.ShortageReason(need, j.Spec.Team, j.Spec.Priority) + describeHolder(r) + q.position(r, j)
 		return false
 	}
 	if q == nil {
@@ -283,10 +283,10 @@
 // help.
 func (st *Preemptor) preemptForUnits(j *ledger.Job) []*ledger.Placement {
 	r, need := st.l.FirstShortage(j, simultaneousTasks(j))
-	if r == nil || need > r.There() {
+	if r == nil || need > r.Capacity() {
 		return nil
 	}
-	if p := r.Rec.Teams[j.Spec.Team]; p.Most > 0 && p.Most < need+r.Used-r.There()+r.Free(j.Spec.Team, j.Spec.Priority) {
+	if p := r.Record.Teams[j.Spec.Team]; p.Most > 0 && p.Most < need+r.Used-r.Capacity()+r.Free(j.Spec.Team, j.Spec.Priority) {
 		return nil // the limit of the job's own team is the obstacle
 	}
 	missing := need - r.Free(j.Spec.Team, j.Spec.Priority)
--- a/internal/rollout/check_test.go
+++ b/internal/rollout/check_test.go
@@ -15,33 +15,34 @@
 	"brooklb/internal/wire"
 )
 
-// env answers every check as it is told to.
-type env struct {
-	now    time.Duration
-	timers actor.Timers
-	rng    *rand.Rand
-	answer func(c actor.Call) (a actor.Answer, after time.Duration)
-	calls  int
-	flying int
-	most   int
-	last   actor.Call
+// fakeEnv is an actor.Env with a simulated clock that answers every call by the answer
+// function.
+type fakeEnv struct {
+	now          time.Duration
+	timers       actor.Timers
+	rng          *rand.Rand
+	answer       func(c actor.Call) (a actor.Answer, after time.Duration)
+	calls        int
+	inFlight     int
+	peakInFlight int
+	last         actor.Call
 }
 
-func (e *env) Now() time.Duration                           { return e.now }
-func (e *env) Wall() time.Time                              { return time.UnixMilli(e.now.Milliseconds()) }
-func (e *env) Rand() *rand.Rand                             { return e.rng }
-func (e *env) Log() *slog.Logger                            { return slog.New(slog.DiscardHandler) }
-func (e *env) After(d time.Duration, f func()) *actor.Timer { return e.timers.Add(e.now+d, f) }
-func (e *env) Call(c actor.Call) {
+func (e *fakeEnv) Now() time.Duration                           { return e.now }
+func (e *fakeEnv) Wall() time.Time                              { return time.UnixMilli(e.now.Milliseconds()) }
+func (e *fakeEnv) Rand() *rand.Rand                             { return e.rng }
+func (e *fakeEnv) Log() *slog.Logger                            { return slog.New(slog.DiscardHandler) }
+func (e *fakeEnv) After(d time.Duration, f func()) *actor.Timer { return e.timers.Add(e.now+d, f) }
+func (e *fakeEnv) Call(c actor.Call) {
 	e.calls++
-	e.flying++
-	e.most = max(e.most, e.flying)
+	e.inFlight++
+	e.peakInFlight = max(e.peakInFlight, e.inFlight)
 	e.last = c
 	a, after := e.answer(c)
-	e.After(after, func() { e.flying--; c.Done(a) })
+	e.After(after, func() { e.inFlight--; c.Done(a) })
 }
 
-func (e *env) run(d time.Duration) {
+func (e *fakeEnv) run(d time.Duration) {
 	end := e.now + d
 	for {
 		at, ok := e.timers.Next()
@@ -54,11 +55,11 @@
 	e.now = end
 }
 
-// checked makes a checker with so many running instances, ten on a machine.
-func checkedWorld(n int, share float64, spec *wire.Health) (*env, *checker, *ledger.Job) {
-	e := &env{rng: rand.New(rand.NewPCG(1, 1)), now: time.Minute}
+// newTestChecker returns a checker with n running instances, ten on a machine.
+func newTestChecker(n int, share float64, spec *wire.Health) (*fakeEnv, *checker, *ledger.Job) {
+	e := &fakeEnv{rng: rand.New(rand.NewPCG(1, 1)), now: time.Minute}
 	e.answer = func(actor.Call) (actor.Answer, time.Duration) { return actor.Answer{Status: 200}, 2 * time.Millisecond }
-	l := ledger.New(e, store(e), 1, nil)
+	l := ledger.New(e, newStore(e), 1, nil)
 	rec := ledger.NewRecord(&model.Spec{ID: "j-2", Kind: model.Service, Tasks: n, Image: "i"}, 0, "", 100)
 	l.ApplyJobRecord(ledger.JobKey("j-2"), &statestore.Item{Value: rec.Encode(), Stamp: 1})
 	j := l.Jobs["j-2"]
@@ -73,12 +74,13 @@
 	return e, c, j
 }
 
-func spec() *wire.Health {
+func testHealth() *wire.Health {
 	return &wire.Health{Port: 8000, PerTask: true, Path: "/h/{task}", IntervalS: 5, TimeoutS: 2, SlowS: 1, Passes: 2, Fails: 3, Flaps: 6}
 }
 
-// TestChecks guards what a check proves: nothing if it could not be made, whatever
-// the reason, and never anywhere but on the machine that the cloud listed.
+// TestChecks guards against wrong conclusions from checks: a check that could not be
+// sent or whose machine is silent must not make an instance sick, and checks must go
+// only to the machine that the cloud listed.
 func TestChecks(t *testing.T) {
 	refused := errors.Join(actor.ErrNotSent, actor.ErrRefused)
 	for _, c := range []struct {
@@ -98,7 +100,7 @@
 		{"no answer, machine silent", actor.Answer{Err: actor.ErrNoAnswer}, 2 * time.Second, true, false, false},
 		{"no way there", actor.Answer{Err: actor.ErrNotSent}, 2 * time.Second, false, false, false},
 	} {
-		e, ch, j := checkedWorld(1, 1, spec())
+		e, ch, j := newTestChecker(1, 1, testHealth())
 		e.answer = func(actor.Call) (actor.Answer, time.Duration) { return c.a, c.after }
 		m := j.Tasks[0].CurrentPlacement.Host
 		for range 40 {
@@ -107,39 +109,41 @@
 			}
 			e.run(time.Second)
 		}
-		x := ch.all[instanceID{"j-2", 0}]
+		x := ch.instances[instanceID{"j-2", 0}]
 		if x.healthy(ch) != c.healthy || x.sick() != c.sick {
-			t.Errorf("%s: healthy %v, sick %v", c.name, x.healthy(ch), x.sick())
+			t.Errorf("%s: got healthy %v, sick %v", c.name, x.healthy(ch), x.sick())
 		}
 		if e.last.Addr != "10.1.0.1:8000" || e.last.Path != "/h/0" || !e.last.DisableKeepAlive {
-			t.Errorf("asked %s%s", e.last.Addr, e.last.Path)
+			t.Errorf("checked %s%s, want 10.1.0.1:8000/h/0", e.last.Addr, e.last.Path)
 		}
-		if x.sick() && x.proof() == "" {
-			t.Error("no proof")
+		if x.sick() && x.evidence() == "" {
+			t.Error("a sick instance has no evidence")
 		}
-		// A pause: what was under way proves nothing.
+		// A check in flight during a pause must be ignored.
 		if c.sick {
 			before := x.fails
-			ch.stood()
+			ch.discardInFlight()
 			e.run(c.after)
-			if x.fails > before && e.flying > 0 {
-				t.Errorf("%s: a check from before a pause counted", c.name)
+			if x.fails > before && e.inFlight > 0 {
+				t.Errorf("%s: a check sent before a pause counted", c.name)
 			}
 		}
 	}
-	// Not listed by the cloud: nobody is asked, whatever the worker says of itself.
-	e, ch, j := checkedWorld(1, 1, spec())
+	// No check goes to a machine that the cloud didn't list, even if its worker reports
+	// an address.
+	e, ch, j := newTestChecker(1, 1, testHealth())
 	j.Tasks[0].CurrentPlacement.Host.ListedAddr = ""
 	e.run(30 * time.Second)
-	if e.calls != 0 || ch.all[instanceID{"j-2", 0}].healthy(ch) {
+	if e.calls != 0 || ch.instances[instanceID{"j-2", 0}].healthy(ch) {
 		t.Errorf("%d checks of a machine that is not listed", e.calls)
 	}
 }
 
-// TestManyChecks guards sockets and processor time when thousands of instances are
-// checked on 12% of a core and many do not answer: checks come more seldom, evenly.
+// TestManyChecks guards against using too many sockets or too much processor time when
+// thousands of instances are checked on 12% of a core and many don't answer. Every
+// instance must still be checked, but less often.
 func TestManyChecks(t *testing.T) {
-	e, c, _ := checkedWorld(4096, 0.12, spec())
+	e, c, _ := newTestChecker(4096, 0.12, testHealth())
 	slow := 0
 	e.answer = func(actor.Call) (actor.Answer, time.Duration) {
 		if slow++; slow%4 == 0 {
@@ -151,24 +155,25 @@
 	start := e.calls
 	e.run(2 * time.Minute)
 	rate := float64(e.calls-start) / 120
-	if e.most > mostFlying || rate > c.rate*1.05 {
-		t.Errorf("%d sockets at once, %.0f checks a second of %.0f", e.most, rate, c.rate)
+	if e.peakInFlight > maxInFlight || rate > c.rate*1.05 {
+		t.Errorf("%d sockets at once, %.0f checks a second, want at most %.0f", e.peakInFlight, rate, c.rate)
 	}
 	seen := 0
-	for _, x := range c.all {
-		if x.known > 0 {
+	for _, x := range c.instances {
+		if x.lastResult > 0 {
 			seen++
 		}
 	}
 	if seen < 4000 {
-		t.Errorf("of %d of 4096 instances nothing is known after two minutes", 4096-seen)
+		t.Errorf("%d of 4096 instances were not checked within two minutes, want at most 96", 4096-seen)
 	}
-	t.Logf("%.0f checks a second of 4096 instances, each every %.0f s, %d sockets at most", rate, c.every().Seconds(), e.most)
+	t.Logf("%.0f checks a second of 4096 instances, each every %.0f s, %d sockets at most", rate, c.fullRound().Seconds(), e.peakInFlight)
 }
 
-// BenchmarkCheck measures what a check costs beside its socket (httpx.BenchmarkOnce).
+// BenchmarkCheck measures the processor time of a check without its socket, which
+// httpx.BenchmarkOnce measures.
 func BenchmarkCheck(b *testing.B) {
-	e, _, _ := checkedWorld(4096, 1, spec())
+	e, _, _ := newTestChecker(4096, 1, testHealth())
 	e.run(10 * time.Second)
 	before := e.calls
 	b.ReportAllocs()
@@ -179,22 +184,22 @@
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(e.calls-before), "us/check")
 }
 
-// BenchmarkTick measures a look at a roll-out of 4096 instances.
+// BenchmarkTick measures the evaluation of a roll-out of 4096 instances.
 func BenchmarkTick(b *testing.B) {
-	e, c, j := checkedWorld(4096, 0.12, spec())
+	e, c, j := newTestChecker(4096, 0.12, testHealth())
 	e.run(10 * time.Second)
-	a := &Actor{env: e, check: c, led: ledger.New(e, store(e), 1, nil), all: map[string]*service{}}
-	a.led.Jobs["j-2"] = j
-	v := &version{Job: "j-2", Tasks: 4096, On: setOf(4096), Check: spec()}
-	s := &service{name: "shop", ends: map[instanceID]int{}, rec: &Record{New: v, Roll: &roll{Plan: &wire.Rollout{Ends: 2}}}}
+	a := &Actor{env: e, checker: c, ledger: ledger.New(e, newStore(e), 1, nil), services: map[string]*service{}}
+	a.ledger.Jobs["j-2"] = j
+	v := &version{Job: "j-2", Tasks: 4096, Wanted: fullSet(4096), Health: testHealth()}
+	s := &service{name: "shop", ends: map[instanceID]int{}, record: &Record{New: v, Rollout: &activeRollout{Plan: &wire.Rollout{Ends: 2}}}}
 	b.ReportAllocs()
 	for b.Loop() {
 		a.watch(s)
-		young := a.side(v, s)
-		swap(young, nil, 4096, 0, bounds{4096, 0}, func(int) bool { return true })
+		updated := a.instancesOf(v, s)
+		swap(updated, nil, 4096, 0, bounds{4096, 0}, func(int) bool { return true })
 	}
 }
 
-func store(e *env) *statestore.Store {
+func newStore(e *fakeEnv) *statestore.Store {
 	return statestore.New(e, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 8, ValueBytes: 4096})
 }
--- a/internal/rollout/door.go
+++ b/internal/rollout/door.go
@@ -14,39 +14,41 @@
 	"brooklb/internal/wire"
 )
 
-// Door answers what users ask about services, on every node. What they want is
-// written to the service's record, where the leader finds it.
-type Door struct {
+// Handler answers users' requests about services, on every node. It writes what they
+// request to the service's record, which the leader acts on.
+type Handler struct {
 	env   actor.Env
 	store *statestore.Store
 	teams map[string]settings.Team
-	// Check finds out whether a job can ever run.
+	// Check reports why a job can never run. known is false while the machine types
+	// aren't known.
 	Check func(s *model.Spec) (known bool, err error)
-	// Understood reports whether all controllers that were heard of read records of
-	// roll-outs.
-	Understood func() bool
-	// Live is what a leader sees, nil on other nodes.
+	// RolloutsSupported reports whether all controllers heard from lately can read the
+	// records of roll-outs. During an upgrade some can't.
+	RolloutsSupported func() bool
+	// Live returns the leader's view of a service's roll-out and why it doesn't advance,
+	// nil on other nodes.
 	Live func(name string) (*wire.RolloutLive, string)
 }
 
-// NewDoor makes the door of a node.
-func NewDoor(env actor.Env, store *statestore.Store, teams []settings.Team) *Door {
-	d := &Door{env: env, store: store, teams: map[string]settings.Team{}}
+// NewHandler returns the Handler of a node.
+func NewHandler(env actor.Env, store *statestore.Store, teams []settings.Team) *Handler {
+	h := &Handler{env: env, store: store, teams: map[string]settings.Team{}}
 	for _, t := range teams {
-		d.teams[t.Name] = t
+		h.teams[t.Name] = t
 	}
-	return d
+	return h
 }
 
-// mostListed bounds how many services one answer lists.
-const mostListed = 200
+// maxListed is how many services one answer lists at most.
+const maxListed = 200
 
-// Serve answers a request; it returns false for paths of others.
-func (d *Door) Serve(r *httpx.Request, reply func(httpx.Response)) bool {
+// Serve answers a request; it returns false for paths that are not of services.
+func (h *Handler) Serve(r *httpx.Request, reply func(httpx.Response)) bool {
 	if r.Path != wire.PathServices && !strings.HasPrefix(r.Path, wire.PathServices+"/") {
 		return false
 	}
-	if !d.store.Synced() {
+	if !h.store.Synced() {
 		reply(answer.Unavailable)
 		return true
 	}
@@ -60,31 +62,31 @@
 	case r.Method != want:
 		reply(answer.Refuse(405, 0, "%s only", want))
 	case rest == "":
-		d.list(reply)
+		h.list(reply)
 	case !wire.ValidService(name):
 		reply(answer.Refuse(404, 0, "%q is no name of a service: up to 40 of a-z, 0-9 and -", name))
 	case verb == "":
-		d.status(name, reply)
+		h.status(name, reply)
 	case verb == wire.VerbHistory:
-		d.history(name, reply)
+		h.history(name, reply)
 	case verb == wire.VerbStart:
-		d.start(name, r.Body, reply)
+		h.start(name, r.Body, reply)
 	case slices.Contains([]string{wire.VerbPause, wire.VerbResume, wire.VerbAbort, wire.VerbWithdraw}, verb):
 		asked, err := wire.DecodeRequestInfo(r.Body)
 		if err != nil {
 			reply(answer.Refuse(400, 0, "%v", err))
 			return true
 		}
-		d.ask(name, verb, asked, 4, reply)
+		h.requestChange(name, verb, asked, 4, reply)
 	default:
 		reply(answer.Refuse(404, 0, "no such path"))
 	}
 	return true
 }
 
-// read brings a service's record as it is now; rec is nil if there is none.
-func (d *Door) read(name string, reply func(httpx.Response), then func(rec *Record, stamp uint64)) {
-	d.store.Read(Key(name), func(it *statestore.Item, ok bool) {
+// read passes the current record of a service to then; rec is nil if there is none.
+func (h *Handler) read(name string, reply func(httpx.Response), then func(rec *Record, stamp uint64)) {
+	h.store.Read(Key(name), func(it *statestore.Item, ok bool) {
 		if !ok {
 			reply(answer.Unavailable)
 			return
@@ -95,7 +97,7 @@
 		}
 		rec, err := Decode(name, it.Value)
 		if err != nil {
-			d.env.Log().Error("service record can't be read, kept as it is", "key", Key(name), "err", err)
+			h.env.Log().Error("service record can't be read; it is left unchanged", "key", Key(name), "err", err)
 			reply(answer.Refuse(503, 5, "the record of service %s can't be read", name))
 			return
 		}
@@ -103,13 +105,13 @@
 	})
 }
 
-func (d *Door) tell(name string, rec *Record) httpx.Response {
+func (h *Handler) statusResponse(name string, rec *Record) httpx.Response {
 	v := wire.ServiceView{Service: name, Ended: rec.Ended, Rollout: rec.view(name)}
-	if rec.Cur != nil {
-		v.Version = rec.Cur.Job
+	if rec.Current != nil {
+		v.Version = rec.Current.Job
 	}
-	if v.Rollout != nil && d.Live != nil {
-		live, waits := d.Live(name)
+	if v.Rollout != nil && h.Live != nil {
+		live, waits := h.Live(name)
 		if v.Rollout.Live = live; live != nil && v.Rollout.Why == "" {
 			v.Rollout.Why = waits
 		}
@@ -117,34 +119,34 @@
 	return httpx.Response{Status: 200, Body: wire.Encode(v)}
 }
 
-func (d *Door) status(name string, reply func(httpx.Response)) {
-	d.read(name, reply, func(rec *Record, _ uint64) {
+func (h *Handler) status(name string, reply func(httpx.Response)) {
+	h.read(name, reply, func(rec *Record, _ uint64) {
 		if rec == nil {
 			reply(answer.Refuse(404, 0, "no service %s is known", name))
 			return
 		}
-		reply(d.tell(name, rec))
+		reply(h.statusResponse(name, rec))
 	})
 }
 
-// list shows all services from the replica, which may lag by a moment.
-func (d *Door) list(reply func(httpx.Response)) {
+// list answers with all services from the replica, which may lag by a moment.
+func (h *Handler) list(reply func(httpx.Response)) {
 	var out struct {
 		Services []wire.ServiceView `json:"services"`
 		More     int                `json:"more,omitempty"`
 	}
 	out.Services = []wire.ServiceView{}
-	d.store.Each(Prefix, func(k string, it statestore.Item) {
+	h.store.Each(Prefix, func(k string, it statestore.Item) {
 		name := strings.TrimPrefix(k, Prefix)
-		if len(out.Services) >= mostListed {
+		if len(out.Services) >= maxListed {
 			out.More++
 			return
 		}
 		v := wire.ServiceView{Service: name}
 		if rec, err := Decode(name, it.Value); err == nil {
 			v.Ended = rec.Ended
-			if rec.Cur != nil {
-				v.Version = rec.Cur.Job
+			if rec.Current != nil {
+				v.Version = rec.Current.Job
 			}
 			if v.Rollout = rec.view(name); v.Rollout != nil {
 				v.Rollout.Evidence = nil
@@ -157,8 +159,8 @@
 	reply(httpx.Response{Status: 200, Body: wire.Encode(out)})
 }
 
-func (d *Door) history(name string, reply func(httpx.Response)) {
-	d.read(name, reply, func(rec *Record, _ uint64) {
+func (h *Handler) history(name string, reply func(httpx.Response)) {
+	h.read(name, reply, func(rec *Record, _ uint64) {
 		if rec == nil {
 			reply(answer.Refuse(404, 0, "no service %s is known", name))
 			return
@@ -171,14 +173,14 @@
 		if v := rec.view(name); v != nil {
 			out.Rollouts = append(out.Rollouts, *v)
 		}
-		for n := rec.N; n > max(0, rec.N-keepHistory); n-- {
-			it, ok := d.store.Peek(HistoryKey(name, n))
+		for n := rec.Number; n > max(0, rec.Number-maxHistory); n-- {
+			it, ok := h.store.Peek(HistoryKey(name, n))
 			if !ok {
 				continue
 			}
 			p, err := decodePast(HistoryKey(name, n), it.Value)
 			if err != nil {
-				d.env.Log().Error("history can't be read, kept as it is", "err", err)
+				h.env.Log().Error("record of an ended roll-out can't be read; it is left unchanged", "err", err)
 				out.Rollouts = append(out.Rollouts, wire.RolloutView{ID: fmt.Sprintf("%s/%d", name, n), Why: "its record can't be read"})
 				continue
 			}
@@ -188,96 +190,98 @@
 	})
 }
 
-// underWay is the refusal of what can't be done during a roll-out.
-func underWay(name string, rec *Record) httpx.Response {
+// inProgressResponse refuses a request that can't be carried out during a roll-out.
+func inProgressResponse(name string, rec *Record) httpx.Response {
 	return answer.Refuse(409, 30, "roll-out %s to %s is under way (%s, step %d of %d): wait for its end, or abort it", rec.id(name), rec.New.Job,
-		rec.Roll.State, rec.Roll.Step+1, rec.steps())
+		rec.Rollout.State, rec.Rollout.Step+1, rec.steps())
 }
 
-// commit writes for a user. A write without an answer is written again under the
-// same conditions.
-func (d *Door) commit(t wire.Txn, tries int, reply func(httpx.Response), done, conflict func()) {
-	d.store.Commit(t, false, func(r statestore.Result, _ uint64, _ []string) {
+// commit applies a transaction for a user. If its outcome is unknown, it is sent again
+// with the same conditions.
+func (h *Handler) commit(t wire.Txn, tries int, reply func(httpx.Response), done, conflict func()) {
+	h.store.Commit(t, false, func(r statestore.Result, _ uint64, _ []string) {
 		switch {
 		case r == statestore.OK:
 			done()
 		case r == statestore.Conflict:
 			conflict()
 		case r == statestore.Unknown && tries > 0:
-			d.commit(t, tries-1, reply, done, conflict)
+			h.commit(t, tries-1, reply, done, conflict)
 		default:
 			reply(answer.Unavailable)
 		}
 	})
 }
 
-// ask changes what a user may change of a roll-out, or ends the service.
-func (d *Door) ask(name, verb string, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
-	d.read(name, reply, func(rec *Record, stamp uint64) {
+// requestChange pauses, resumes or aborts a roll-out, or withdraws the service.
+func (h *Handler) requestChange(name, verb string, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
+	h.read(name, reply, func(rec *Record, stamp uint64) {
 		if rec == nil {
 			reply(answer.Refuse(404, 0, "no service %s is known", name))
 			return
 		}
 		if verb == wire.VerbWithdraw {
-			d.withdraw(name, rec, stamp, asked, tries, reply)
+			h.withdraw(name, rec, stamp, asked, tries, reply)
 			return
 		}
-		if rec.Roll == nil {
+		if rec.Rollout == nil {
 			reply(answer.Refuse(409, 0, "service %s has no roll-out under way", name))
 			return
 		}
 		c := rec.copy()
-		c.Change = fmt.Sprintf("%x", d.env.Rand().Uint64())
-		now := d.env.Wall().UnixMilli()
+		c.Nonce = fmt.Sprintf("%x", h.env.Rand().Uint64())
+		now := h.env.Wall().UnixMilli()
 		switch verb {
 		case wire.VerbPause:
-			if c.Roll.State == Returning || c.Roll.State == Stuck {
-				reply(answer.Refuse(409, 0, "roll-out %s is %s, only its way forward can be paused", rec.id(name), c.Roll.State))
+			if c.Rollout.State == RollingBack || c.Rollout.State == Stuck {
+				reply(answer.Refuse(409, 0, "roll-out %s is %s, only its way forward can be paused", rec.id(name), c.Rollout.State))
 				return
 			}
-			c.Roll.Paused, c.Roll.Why = true, clip(by("paused", asked))
+			c.Rollout.Paused, c.Rollout.Why = true, clip(withReason("paused", asked))
 		case wire.VerbResume:
 			switch {
-			case c.Roll.State == Stuck:
-				c.Roll.State, c.Roll.Ends, c.Roll.Proofs, c.Roll.Since = Rolling, 0, nil, now
-				c.N, c.Roll.Why = c.N+1, clip(by("taken up again", asked)) // counts anew
-			case !c.Roll.Paused:
-				reply(d.tell(name, rec))
+			case c.Rollout.State == Stuck:
+				c.Rollout.State, c.Rollout.Ends, c.Rollout.Evidence, c.Rollout.SinceMS = Rolling, 0, nil, now
+				// The new number resets the leader's failure counts.
+				c.Number, c.Rollout.Why = c.Number+1, clip(withReason("taken up again", asked))
+			case !c.Rollout.Paused:
+				reply(h.statusResponse(name, rec))
 				return
 			default:
-				c.Roll.Paused, c.Roll.Why, c.Roll.Since = false, "", now
+				c.Rollout.Paused, c.Rollout.Why, c.Rollout.SinceMS = false, "", now
 			}
 		case wire.VerbAbort:
 			switch {
-			case c.Cur == nil:
+			case c.Current == nil:
 				reply(answer.Refuse(409, 0, "service %s has no earlier version to go back to: withdraw it", name))
 				return
-			case c.Roll.State == Returning:
-				reply(d.tell(name, rec))
+			case c.Rollout.State == RollingBack:
+				reply(h.statusResponse(name, rec))
 				return
 			}
-			c.Roll.State, c.Roll.Paused, c.Roll.Since, c.Roll.Why = Returning, false, now, clip(by("aborted", asked))
+			c.Rollout.State, c.Rollout.Paused, c.Rollout.SinceMS, c.Rollout.Why = RollingBack, false, now, clip(withReason("aborted", asked))
 		}
 		t := wire.Txn{When: []wire.Cond{{Path: Key(name), Stamp: stamp}}, Apply: []wire.Change{{Write: Key(name), Value: c.encode()}}}
-		d.settle(name, verb, asked, t, c, tries, reply)
+		h.commitChange(name, verb, asked, t, c, tries, reply)
 	})
 }
 
-func (d *Door) settle(name, verb string, asked wire.RequestInfo, t wire.Txn, c *Record, tries int, reply func(httpx.Response)) {
-	d.commit(t, tries, reply, func() {
-		d.env.Log().Info("roll-out: a user asks", "id", c.id(name), "verb", verb, "by", asked.By, "why", asked.Why)
-		reply(d.tell(name, c))
+func (h *Handler) commitChange(name, verb string, asked wire.RequestInfo, t wire.Txn, c *Record, tries int, reply func(httpx.Response)) {
+	h.commit(t, tries, reply, func() {
+		h.env.Log().Info("roll-out or service changed by a user's request", "id", c.id(name), "verb", verb, "by", asked.By, "why", asked.Why)
+		reply(h.statusResponse(name, c))
 	}, func() {
-		// The leader wrote meanwhile, or it was an earlier copy of ours.
+		// The leader changed the record meanwhile, or an earlier attempt of this write
+		// was applied.
 		if tries == 0 {
 			reply(answer.Refuse(503, 1, "the roll-out changes too often just now, come back"))
 			return
 		}
-		d.ask(name, verb, asked, tries-1, reply)
+		h.requestChange(name, verb, asked, tries-1, reply)
 	})
 }
 
-func by(what string, a wire.RequestInfo) string {
+func withReason(what string, a wire.RequestInfo) string {
 	if a.By != "" {
 		what += " by " + a.By
 	}
@@ -287,25 +291,25 @@
 	return what
 }
 
-// withdraw ends a service: all its versions, and the roll-out if there is one.
-func (d *Door) withdraw(name string, rec *Record, stamp uint64, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
+// withdraw ends a service: all its versions, and its roll-out if there is one.
+func (h *Handler) withdraw(name string, rec *Record, stamp uint64, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
 	if rec.Ended {
-		reply(d.tell(name, rec))
+		reply(h.statusResponse(name, rec))
 		return
 	}
-	why := by("service "+name+" withdrawn", asked)
-	var p *past
-	if rec.Roll != nil {
-		p = rec.history(Withdrawn, why, d.env.Wall().UnixMilli())
+	why := withReason("service "+name+" withdrawn", asked)
+	var p *pastRollout
+	if rec.Rollout != nil {
+		p = rec.history(Withdrawn, why, h.env.Wall().UnixMilli())
 	}
-	when, apply, err := closing(d.store, name, rec.N, p, []*version{rec.Cur, rec.New}, why)
+	when, apply, err := endingChanges(h.store, name, rec.Number, p, []*version{rec.Current, rec.New}, why)
 	if err != nil {
 		reply(answer.Refuse(503, 5, "%v", err))
 		return
 	}
 	c := rec.copy()
-	c.Cur, c.New, c.Roll, c.Ended = nil, nil, nil, true
-	c.Change = fmt.Sprintf("%x", d.env.Rand().Uint64())
+	c.Current, c.New, c.Rollout, c.Ended = nil, nil, nil, true
+	c.Nonce = fmt.Sprintf("%x", h.env.Rand().Uint64())
 	t := wire.Txn{When: append(when, wire.Cond{Path: Key(name), Stamp: stamp}), Apply: append(apply, wire.Change{Write: Key(name), Value: c.encode()})}
-	d.settle(name, wire.VerbWithdraw, asked, t, c, tries, reply)
+	h.commitChange(name, wire.VerbWithdraw, asked, t, c, tries, reply)
 }
--- a/internal/rollout/health.go
+++ b/internal/rollout/health.go
@@ -19,51 +19,54 @@
 )
 
 const (
-	// So many checks are under way at once: each is a socket.
-	mostFlying = 64
-	// checkCost is what a check takes of a whole core: half of what both sides take
-	// together (httpx.BenchmarkOnce), and half as much again. Checks take no more than
-	// checkShare of the process's own share.
+	// maxInFlight is how many checks run at the same time: each takes a socket.
+	maxInFlight = 64
+	// checkCost is the processor time of a check: half of what client and server take
+	// together in httpx.BenchmarkOnce, plus a margin of 50%. Checks use at most
+	// checkShare of the processor time that the process may use.
 	checkCost  = 200 * time.Microsecond
 	checkShare = 0.2
-	// Checks that would come at the same moment are spread by so much.
+	// jitter is the part of the interval by which checks are spread, so that they
+	// don't all run at the same moment.
 	jitter = 0.1
-	// flapWindow is how many checks an instance that flaps is judged by.
+	// flapWindow is how many recent checks count when an instance alternates between
+	// passing and failing.
 	flapWindow = 20
-	// An instance without checks counts as healthy when it has run this long.
-	settled = 10 * time.Second
+	// healthyAfter is how long an instance without checks runs until it counts as
+	// healthy.
+	healthyAfter = 10 * time.Second
 )
 
-// checked is an instance of a version that is watched.
-type checked struct {
-	job     *ledger.Job
-	task    int
-	attempt uint64
-	p       *ledger.Placement
-	spec    *wire.Health // nil: only its running counts
-	at      time.Duration
-	pos     int // in the heap, -1: not
-	gone    bool
-	passes  int // in a row
-	fails   int
-	last    uint32 // newest results, 1: failed
-	known   time.Duration
-	why     string // it failed last
+// checkedInstance is a running instance whose health is tracked.
+type checkedInstance struct {
+	job         *ledger.Job
+	task        int
+	attempt     uint64
+	placement   *ledger.Placement
+	spec        *wire.Health // nil: the instance has no checks
+	nextCheck   time.Duration
+	heapIndex   int // in checker.due, -1: it isn't there
+	removed     bool
+	passes      int // in a row
+	fails       int
+	results     uint32 // a bit for each, the newest lowest; 1: failed
+	lastResult  time.Duration
+	lastFailure string // reason of the last failure
 }
 
-// checker checks the instances of the services that are rolled out, within
-// bounds of sockets and processor time.
+// checker checks the health of the instances of services that are rolled out, with a
+// limited number of sockets and limited processor time.
 type checker struct {
-	env    actor.Env
-	report time.Duration
-	all    map[instanceID]*checked
-	due    dueHeap
-	flying int
-	bucket actor.Bucket
-	rate   float64
-	gen    int // what was asked before a pause proves nothing
-	timer  *actor.Timer
-	took   *hdrhistogram.Histogram // of answers, in microseconds
+	env            actor.Env
+	reportInterval time.Duration
+	instances      map[instanceID]*checkedInstance
+	due            dueHeap
+	inFlight       int
+	bucket         actor.Bucket
+	rate           float64 // checks per second
+	generation     int     // increases at a pause: answers to checks sent before it are ignored
+	timer          *actor.Timer
+	latencies      *hdrhistogram.Histogram // of successful answers, in microseconds
 }
 
 type instanceID struct {
@@ -71,17 +74,17 @@
 	task int
 }
 
-type dueHeap []*checked
+type dueHeap []*checkedInstance
 
 func (h dueHeap) Len() int           { return len(h) }
-func (h dueHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h dueHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].pos, h[j].pos = i, j }
-func (h *dueHeap) Push(x any)        { c := x.(*checked); c.pos = len(*h); *h = append(*h, c) }
+func (h dueHeap) Less(i, j int) bool { return h[i].nextCheck < h[j].nextCheck }
+func (h dueHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+func (h *dueHeap) Push(x any)        { c := x.(*checkedInstance); c.heapIndex = len(*h); *h = append(*h, c) }
 func (h *dueHeap) Pop() any {
 	old := *h
 	c := old[len(old)-1]
 	old[len(old)-1] = nil
-	*h, c.pos = old[:len(old)-1], -1
+	*h, c.heapIndex = old[:len(old)-1], -1
 	return c
 }
 
@@ -89,86 +92,87 @@
 	if share <= 0 || share > 1 {
 		share = 1
 	}
-	c := &checker{env: env, report: report, all: map[instanceID]*checked{}, rate: checkShare * share / checkCost.Seconds(),
-		took: hdrhistogram.New(1, 60_000_000, 2)}
+	c := &checker{env: env, reportInterval: report, instances: map[instanceID]*checkedInstance{}, rate: checkShare * share / checkCost.Seconds(),
+		latencies: hdrhistogram.New(1, 60_000_000, 2)}
 	c.bucket.SetRate(c.rate, max(4, c.rate/4))
 	return c
 }
 
-// watch has a running instance checked. One of another attempt begins anew.
-func (c *checker) watch(j *ledger.Job, task int, spec *wire.Health) *checked {
+// watch begins to check a running instance. A new attempt of a task starts with no
+// results.
+func (c *checker) watch(j *ledger.Job, task int, spec *wire.Health) *checkedInstance {
 	id := instanceID{j.Spec.ID, task}
 	p := j.Tasks[task].CurrentPlacement
-	x := c.all[id]
+	x := c.instances[id]
 	if p == nil || p.Phase != model.Running {
 		if x != nil {
 			c.forget(id, x)
 		}
 		return nil
 	}
-	if x != nil && x.attempt == p.Attempt && x.p == p {
+	if x != nil && x.attempt == p.Attempt && x.placement == p {
 		return x
 	}
 	if x != nil {
 		c.forget(id, x)
 	}
-	x = &checked{job: j, task: task, attempt: p.Attempt, p: p, spec: spec, pos: -1, known: -time.Hour}
-	c.all[id] = x
+	x = &checkedInstance{job: j, task: task, attempt: p.Attempt, placement: p, spec: spec, heapIndex: -1, lastResult: -time.Hour}
+	c.instances[id] = x
 	if spec != nil {
 		delay := time.Duration(spec.DelayS * float64(time.Second))
-		x.at = max(c.env.Now(), p.RunSince+delay) + c.spread(time.Duration(spec.IntervalS*float64(time.Second)/4))
+		x.nextCheck = max(c.env.Now(), p.RunSince+delay) + c.randomDelay(time.Duration(spec.IntervalS*float64(time.Second)/4))
 		heap.Push(&c.due, x)
-		c.arm()
+		c.schedule()
 	}
 	return x
 }
 
-func (c *checker) spread(d time.Duration) time.Duration {
+func (c *checker) randomDelay(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * c.env.Rand().Float64())
 }
 
-func (c *checker) forget(id instanceID, x *checked) {
-	x.gone = true
-	if x.pos >= 0 {
-		heap.Remove(&c.due, x.pos)
+func (c *checker) forget(id instanceID, x *checkedInstance) {
+	x.removed = true
+	if x.heapIndex >= 0 {
+		heap.Remove(&c.due, x.heapIndex)
 	}
-	delete(c.all, id)
+	delete(c.instances, id)
 }
 
-// forgetJob ends the checks of a version.
+// forgetJob ends the checks of a version's instances.
 func (c *checker) forgetJob(job string, tasks int) {
 	for i := range tasks {
-		if x := c.all[instanceID{job, i}]; x != nil {
+		if x := c.instances[instanceID{job, i}]; x != nil {
 			c.forget(instanceID{job, i}, x)
 		}
 	}
 }
 
-func (c *checker) arm() {
+func (c *checker) schedule() {
 	if c.timer != nil || len(c.due) == 0 {
 		return
 	}
-	wait := max(10*time.Millisecond, c.due[0].at-c.env.Now())
-	c.timer = c.env.After(wait, func() { c.timer = nil; c.run() })
+	wait := max(10*time.Millisecond, c.due[0].nextCheck-c.env.Now())
+	c.timer = c.env.After(wait, func() { c.timer = nil; c.runDue() })
 }
 
-func (c *checker) run() {
+func (c *checker) runDue() {
 	now := c.env.Now()
-	for len(c.due) > 0 && c.due[0].at <= now && c.flying < mostFlying {
+	for len(c.due) > 0 && c.due[0].nextCheck <= now && c.inFlight < maxInFlight {
 		if !c.bucket.Take(now, 1, 0) {
 			break
 		}
-		c.ask(heap.Pop(&c.due).(*checked))
+		c.send(heap.Pop(&c.due).(*checkedInstance))
 	}
-	if c.flying < mostFlying { // else the next answer goes on
-		c.arm()
+	if c.inFlight < maxInFlight { // otherwise the next answer calls schedule
+		c.schedule()
 	}
 }
 
-// address is where an instance is asked, "" if that isn't known. It is always on
-// the machine that the cloud listed.
-func (x *checked) address() string {
-	host, worker, err := net.SplitHostPort(x.p.Host.ListedAddr)
+// address returns the address of an instance's checks, "" if it isn't known. The host
+// is always the one in the cloud's list of machines.
+func (x *checkedInstance) address() string {
+	host, worker, err := net.SplitHostPort(x.placement.Host.ListedAddr)
 	if err != nil || host == "" {
 		return ""
 	}
@@ -176,116 +180,120 @@
 	if x.spec.PerTask {
 		port += x.task
 	}
-	if text := strconv.Itoa(port); text != worker { // the worker takes commands there
+	if text := strconv.Itoa(port); text != worker { // the worker takes commands on its port
 		return net.JoinHostPort(host, text)
 	}
 	return ""
 }
 
-func (x *checked) path() string {
+func (x *checkedInstance) path() string {
 	return strings.NewReplacer("{task}", strconv.Itoa(x.task), "{job}", x.job.Spec.ID).Replace(x.spec.Path)
 }
 
-func (c *checker) ask(x *checked) {
-	again := func() {
-		if x.gone {
+func (c *checker) send(x *checkedInstance) {
+	reschedule := func() {
+		if x.removed {
 			return
 		}
 		every := time.Duration(x.spec.IntervalS * float64(time.Second))
-		x.at = c.env.Now() + every - time.Duration(float64(every)*jitter/2) + c.spread(time.Duration(float64(every)*jitter))
+		x.nextCheck = c.env.Now() + every - time.Duration(float64(every)*jitter/2) + c.randomDelay(time.Duration(float64(every)*jitter))
 		heap.Push(&c.due, x)
-		c.arm()
+		c.schedule()
 	}
 	addr := x.address()
 	if addr == "" {
-		again()
+		reschedule()
 		return
 	}
-	c.flying++
-	gen, sent := c.gen, c.env.Now()
-	heard := x.p.Host.LastReport
+	c.inFlight++
+	gen, sent := c.generation, c.env.Now()
+	lastHeard := x.placement.Host.LastReport
 	c.env.Call(actor.Call{Addr: addr, Method: "GET", Path: x.path(), DisableKeepAlive: true, Timeout: time.Duration(x.spec.TimeoutS * float64(time.Second)),
 		Done: func(a actor.Answer) {
-			c.flying--
-			if !x.gone && gen == c.gen {
-				x.judge(c, a, sent, heard)
+			c.inFlight--
+			if !x.removed && gen == c.generation {
+				x.recordResult(c, a, sent, lastHeard)
 			}
-			again()
-			if c.flying == mostFlying-1 {
-				c.arm()
+			reschedule()
+			if c.inFlight == maxInFlight-1 {
+				c.schedule()
 			}
 		}})
 }
 
-// judge takes in what came of a check. One that could not be made proves nothing.
-func (x *checked) judge(c *checker, a actor.Answer, sent, heard time.Duration) {
+// recordResult records the outcome of a check. A failure that the network or the
+// machine may have caused is ignored.
+func (x *checkedInstance) recordResult(c *checker, a actor.Answer, sent, lastHeard time.Duration) {
 	now := c.env.Now()
 	took := now - sent
-	// The machine reports as it should: what doesn't answer there is at fault, and
-	// not the way to it.
-	well := now-max(heard, x.p.Host.LastReport) <= c.report+c.report/2
+	// If the machine's worker reports on time, the network works, and a missing answer
+	// is a failure of the instance.
+	machineReports := now-max(lastHeard, x.placement.Host.LastReport) <= c.reportInterval+c.reportInterval/2
 	why := ""
 	switch {
 	case a.Err == nil && a.Status >= 200 && a.Status < 300:
 		if slow := time.Duration(x.spec.SlowS * float64(time.Second)); took > slow {
 			why = fmt.Sprintf("answered after %.1f s only", took.Seconds())
 		}
-		_ = c.took.RecordValue(max(1, took.Microseconds())) // inside the bounds
+		_ = c.latencies.RecordValue(max(1, took.Microseconds())) // within the histogram's range
 	case a.Err == nil:
 		why = fmt.Sprintf("answered %d", a.Status)
-	case errors.Is(a.Err, actor.ErrRefused) && well:
+	case errors.Is(a.Err, actor.ErrRefused) && machineReports:
 		why = "refused the connection"
-	case a.Unsent() || !well:
-		return // nobody was asked, or nobody is known to be there
+	case a.Unsent() || !machineReports:
+		return // the check was not sent, or the machine may be unreachable
 	default:
 		why = "did not answer"
 	}
-	x.known = now
-	x.last <<= 1
+	x.lastResult = now
+	x.results <<= 1
 	if why == "" {
 		x.passes++
 		x.fails = 0
 		return
 	}
-	x.last |= 1
+	x.results |= 1
 	x.fails++
 	x.passes = 0
-	x.why = why
+	x.lastFailure = why
 }
 
-// stale is after what time without a result nothing is known of an instance.
-func (x *checked) stale(rateEvery time.Duration) time.Duration {
-	every := max(rateEvery, time.Duration(x.spec.IntervalS*float64(time.Second)))
+// staleAfter returns after how long without a result an instance's health counts as
+// unknown. fullRound is how long it takes to check all instances once.
+func (x *checkedInstance) staleAfter(fullRound time.Duration) time.Duration {
+	every := max(fullRound, time.Duration(x.spec.IntervalS*float64(time.Second)))
 	return 2*every + time.Duration(x.spec.TimeoutS*float64(time.Second)) + 2*time.Second
 }
 
-// every is how often all instances can be checked within the rate.
-func (c *checker) every() time.Duration {
-	return time.Duration(float64(len(c.all)) / c.rate * float64(time.Second))
+// fullRound returns how long it takes to check all instances at the permitted rate.
+func (c *checker) fullRound() time.Duration {
+	return time.Duration(float64(len(c.instances)) / c.rate * float64(time.Second))
 }
 
-// healthy reports whether the instance surely is.
-func (x *checked) healthy(c *checker) bool {
+// healthy reports whether the instance is known to be healthy.
+func (x *checkedInstance) healthy(c *checker) bool {
 	now := c.env.Now()
 	if x.spec == nil {
-		return now-x.p.RunSince >= settled && now-x.p.Host.LastReport <= 2*c.report
+		return now-x.placement.RunSince >= healthyAfter && now-x.placement.Host.LastReport <= 2*c.reportInterval
 	}
-	return x.passes >= x.spec.Passes && now-x.known <= x.stale(c.every()) && !x.sick()
+	return x.passes >= x.spec.Passes && now-x.lastResult <= x.staleAfter(c.fullRound()) && !x.sick()
 }
 
-// sick reports whether the instance surely is.
-func (x *checked) sick() bool {
-	return x.spec != nil && (x.fails >= x.spec.Fails || bits.OnesCount32(x.last&(1<<flapWindow-1)) >= x.spec.Flaps)
+// sick reports whether the instance is known to fail: it failed too many checks in a
+// row, or too many of the last flapWindow.
+func (x *checkedInstance) sick() bool {
+	return x.spec != nil && (x.fails >= x.spec.Fails || bits.OnesCount32(x.results&(1<<flapWindow-1)) >= x.spec.Flaps)
 }
 
-// proof says in a sentence what makes the instance sick.
-func (x *checked) proof() string {
-	where := fmt.Sprintf("%s/%d on %s", x.job.Spec.ID, x.task, x.p.Host.Name)
+// evidence describes in a sentence why the instance is sick.
+func (x *checkedInstance) evidence() string {
+	where := fmt.Sprintf("%s/%d on %s", x.job.Spec.ID, x.task, x.placement.Host.Name)
 	if x.fails >= x.spec.Fails {
-		return fmt.Sprintf("%s failed %d checks in a row, it %s", where, x.fails, x.why)
+		return fmt.Sprintf("%s failed %d checks in a row, it %s", where, x.fails, x.lastFailure)
 	}
-	return fmt.Sprintf("%s failed %d of its last %d checks, last it %s", where, bits.OnesCount32(x.last&(1<<flapWindow-1)), flapWindow, x.why)
+	return fmt.Sprintf("%s failed %d of its last %d checks, last it %s", where, bits.OnesCount32(x.results&(1<<flapWindow-1)), flapWindow, x.lastFailure)
 }
 
-// stood drops what was asked before a pause.
-func (c *checker) stood() { c.gen++ }
+// discardInFlight makes the checker ignore the answers to checks sent before a pause
+// of the process.
+func (c *checker) discardInFlight() { c.generation++ }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -1,159 +1,160 @@
 package rollout
 
-// instance is what the plan has to know of one task of a version.
+// instance is the state of one task of a version.
 type instance struct {
-	On      bool // wanted, by the record
-	Here    bool // has a machine, or is not yet proven gone from one
-	Healthy bool // surely
-	Sick    bool // surely
+	Wanted  bool // the record says that it is to run
+	Placed  bool // has a machine, or may still run on one
+	Healthy bool // known to be healthy
+	Sick    bool // known to fail; neither Healthy nor Sick: its health is unknown
 	Zone    string
 }
 
-// side is one version as the plan sees it.
-type side []instance
+// instances are the instances of one version, by task.
+type instances []instance
 
-func (s side) on() (n int) {
+func (s instances) wanted() (n int) {
 	for i := range s {
-		if s[i].On {
+		if s[i].Wanted {
 			n++
 		}
 	}
 	return n
 }
 
-// gone reports whether nothing is left of what is not wanted any more.
-func (s side) gone() bool {
+// allStopped reports whether no unwanted instance has a machine any more.
+func (s instances) allStopped() bool {
 	for i := range s {
-		if !s[i].On && s[i].Here {
+		if !s[i].Wanted && s[i].Placed {
 			return false
 		}
 	}
 	return true
 }
 
-func (s side) healthy() (n int) {
+func (s instances) healthy() (n int) {
 	for i := range s {
-		if s[i].On && s[i].Here && s[i].Healthy {
+		if s[i].Wanted && s[i].Placed && s[i].Healthy {
 			n++
 		}
 	}
 	return n
 }
 
-func (s side) sick() (n int) {
+func (s instances) sick() (n int) {
 	for i := range s {
-		if s[i].On && s[i].Sick {
+		if s[i].Wanted && s[i].Sick {
 			n++
 		}
 	}
 	return n
 }
 
-func (s side) there() (n int) {
+func (s instances) wantedOrPlaced() (n int) {
 	for i := range s {
-		if s[i].On || s[i].Here {
+		if s[i].Wanted || s[i].Placed {
 			n++
 		}
 	}
 	return n
 }
 
-// bounds hold at every instant: no more instances than most, no fewer healthy
-// ones than least because of the roll-out.
-type bounds struct{ most, least int }
+// bounds limit a roll-out at every moment: it starts no instances beyond maxTotal,
+// and stops none that may be healthy when that leaves fewer than minHealthy.
+type bounds struct{ maxTotal, minHealthy int }
 
-func boundsOf(from, to, surge, unavailable int) bounds {
+func newBounds(from, to, surge, unavailable int) bounds {
 	low := min(from, to)
 	if from == 0 {
-		low = 0 // there was nothing to keep
+		low = 0 // the service has no instances yet
 	}
-	return bounds{most: max(from, to) + surge, least: max(0, low-unavailable)}
+	return bounds{maxTotal: max(from, to) + surge, minHealthy: max(0, low-unavailable)}
 }
 
-// swap says which instances to want and to want no more, one step nearer to k of
-// the version that comes and keep of the one that goes. mayGo says which of the
-// latter may go at all.
-func swap(come, leave side, k, keep int, b bounds, mayGo func(i int) bool) (on, off []int) {
-	there := come.there() + leave.there()
-	healthy := come.healthy() + leave.healthy()
-	left := leave.on()
-	// What has no machine, or is surely sick, serves nobody: it goes first, and
-	// makes room. Its going takes nothing from what is healthy.
-	for i := range leave {
-		x := &leave[i]
-		if left > keep && x.On && (x.Sick || !x.Here) && mayGo(i) {
-			off = append(off, i)
-			left--
-			if !x.Here {
-				there--
+// swap returns which instances to start and to stop next, on the way to
+// incomingTarget instances of the incoming version and outgoingTarget of the outgoing
+// one. mayStop reports whether an outgoing instance may be stopped. swap changes the
+// Wanted flags of the instances that it returns.
+func swap(incoming, outgoing instances, incomingTarget, outgoingTarget int, b bounds, mayStop func(i int) bool) (start, stop []int) {
+	total := incoming.wantedOrPlaced() + outgoing.wantedOrPlaced()
+	healthy := incoming.healthy() + outgoing.healthy()
+	remaining := outgoing.wanted()
+	// First stop instances that have no machine or are sick. They serve no requests,
+	// and stopping them doesn't lower the number of healthy ones.
+	for i := range outgoing {
+		x := &outgoing[i]
+		if remaining > outgoingTarget && x.Wanted && (x.Sick || !x.Placed) && mayStop(i) {
+			stop = append(stop, i)
+			remaining--
+			if !x.Placed {
+				total--
 			}
-			x.On = false
+			x.Wanted = false
 		}
 	}
-	// Of the others as many as may be missing. One that isn't known to be healthy
-	// may be so in truth, and counts as if it were.
-	for i := range leave {
-		x := &leave[i]
-		if left <= keep || healthy <= b.least {
+	// Then stop others while the number of healthy ones allows it. An instance of
+	// unknown health may be healthy, so stopping it lowers the number, too.
+	for i := range outgoing {
+		x := &outgoing[i]
+		if remaining <= outgoingTarget || healthy <= b.minHealthy {
 			break
 		}
-		if !x.On || !mayGo(i) {
+		if !x.Wanted || !mayStop(i) {
 			continue
 		}
-		off = append(off, i)
-		left--
+		stop = append(stop, i)
+		remaining--
 		healthy--
-		x.On = false
+		x.Wanted = false
 	}
-	// One that goes stays until it is proven gone.
-	wanted := come.on()
-	for i := range come {
-		if wanted >= k || there >= b.most {
+	// A stopped instance counts in the total until it is proven gone.
+	wanted := incoming.wanted()
+	for i := range incoming {
+		if wanted >= incomingTarget || total >= b.maxTotal {
 			break
 		}
-		if x := &come[i]; !x.On {
-			if !x.Here {
-				there++
+		if x := &incoming[i]; !x.Wanted {
+			if !x.Placed {
+				total++
 			}
-			on = append(on, i)
+			start = append(start, i)
 			wanted++
-			x.On = true
+			x.Wanted = true
 		}
 	}
-	return on, off
+	return start, stop
 }
 
-// target is how many instances of the new version there are to be after a step,
-// and how many of the old one.
+// target is how many instances of the new and the old version are to run after a
+// step.
 type target struct {
-	k, keep int
-	zone    string // only there, "" for anywhere
-	last    bool
+	newCount, oldCount int
+	zone               string // new instances start only in this zone, "": in any
+	last               bool
 }
 
-func (r *Record) target(old side) target {
-	zones := r.Roll.Zones
+func (r *Record) target(old instances) target {
+	zones := r.Rollout.Zones
 	n, o := r.New.Tasks, len(old)
-	p := r.Roll.Plan
+	p := r.Rollout.Plan
 	if !p.ByZone {
-		if r.Roll.Step >= len(p.Steps)-1 {
-			return target{k: n, last: true}
+		if r.Rollout.Step >= len(p.Steps)-1 {
+			return target{newCount: n, last: true}
 		}
-		k := min(n, p.Steps[r.Roll.Step].Of(n))
-		return target{k: k, keep: o - o*k/n}
+		k := min(n, p.Steps[r.Rollout.Step].Of(n))
+		return target{newCount: k, oldCount: o - o*k/n}
 	}
-	if r.Roll.Step >= len(zones)-1 || o == 0 {
-		return target{k: n, last: true} // all zones may have new ones by now
+	if r.Rollout.Step >= len(zones)-1 || o == 0 {
+		return target{newCount: n, last: true} // new instances may start in all zones now
 	}
 	later := map[string]bool{}
-	for _, z := range zones[r.Roll.Step+1:] {
+	for _, z := range zones[r.Rollout.Step+1:] {
 		later[z] = true
 	}
-	keep := 0
+	inLaterZones := 0
 	for i := range old {
-		if old[i].On && later[old[i].Zone] {
-			keep++
+		if old[i].Wanted && later[old[i].Zone] {
+			inLaterZones++
 		}
 	}
-	return target{k: n - (n*keep+o-1)/o, keep: keep, zone: zones[r.Roll.Step]}
+	return target{newCount: n - (n*inLaterZones+o-1)/o, oldCount: inLaterZones, zone: zones[r.Rollout.Step]}
 }
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -10,62 +10,62 @@
 )
 
 // TestSwap moves random services from one version to the other and back, with
-// instances that come up late, are lost or turn sick on the way, and holds every
-// single change to the bounds.
+// instances that start late, are lost or become sick meanwhile, and checks the bounds
+// after each change.
 func TestSwap(t *testing.T) {
 	ended := 0
 	for seed := range uint64(400) {
 		r := rand.New(rand.NewPCG(seed, 6))
-		old, young := make(side, r.IntN(12)), make(side, 1+r.IntN(12))
+		old, updated := make(instances, r.IntN(12)), make(instances, 1+r.IntN(12))
 		for i := range old {
-			old[i] = instance{On: true, Here: true, Healthy: true}
+			old[i] = instance{Wanted: true, Placed: true, Healthy: true}
 		}
 		surge, missing := r.IntN(3), r.IntN(3)
 		if surge+missing == 0 {
 			continue
 		}
-		b := boundsOf(len(old), len(young), surge, missing)
-		come, leave, k, keep := young, old, len(young), 0
+		b := newBounds(len(old), len(updated), surge, missing)
+		incoming, outgoing, incomingTarget, outgoingTarget := updated, old, len(updated), 0
 		turnAt := 5 + r.IntN(60)
 		any := func(int) bool { return true }
 		for round := range 400 {
 			if round == turnAt && r.IntN(2) == 0 && len(old) > 0 {
-				come, leave, k = leave, come, len(old) // back again
+				incoming, outgoing, incomingTarget = outgoing, incoming, len(old) // roll back
 			}
-			healthy := old.healthy() + young.healthy()
-			on, off := swap(come, leave, k, keep, b, any)
+			healthy := old.healthy() + updated.healthy()
+			start, stop := swap(incoming, outgoing, incomingTarget, outgoingTarget, b, any)
 			lost := 0
-			for _, i := range off {
-				if leave[i].On {
-					t.Fatal("swap left something on that it names")
+			for _, i := range stop {
+				if outgoing[i].Wanted {
+					t.Fatal("swap stops an instance whose Wanted flag is still set")
 				}
-				if leave[i].Here && leave[i].Healthy {
+				if outgoing[i].Placed && outgoing[i].Healthy {
 					lost++
 				}
 			}
-			if lost > 0 && healthy-lost < b.least {
-				t.Fatalf("seed %d, round %d: %d healthy, %d of them stopped, the bound is %d", seed, round, healthy, lost, b.least)
+			if lost > 0 && healthy-lost < b.minHealthy {
+				t.Fatalf("seed %d, round %d: %d healthy, %d of them stopped, want at least %d left", seed, round, healthy, lost, b.minHealthy)
 			}
-			if n := old.there() + young.there(); len(on) > 0 && n > b.most {
-				t.Fatalf("seed %d, round %d: %d instances, the bound is %d", seed, round, n, b.most)
+			if n := old.wantedOrPlaced() + updated.wantedOrPlaced(); len(start) > 0 && n > b.maxTotal {
+				t.Fatalf("seed %d, round %d: %d instances, want at most %d", seed, round, n, b.maxTotal)
 			}
-			if len(on)+len(off) == 0 && come.on() == k && leave.on() == keep && come.healthy() == k && leave.gone() {
+			if len(start)+len(stop) == 0 && incoming.wanted() == incomingTarget && outgoing.wanted() == outgoingTarget && incoming.healthy() == incomingTarget && outgoing.allStopped() {
 				ended++
 				break
 			}
-			for _, s := range []side{old, young} {
+			for _, s := range []instances{old, updated} {
 				for i := range s {
 					x := &s[i]
 					switch {
-					case !x.On && x.Here && r.IntN(2) == 0:
+					case !x.Wanted && x.Placed && r.IntN(2) == 0:
 						*x = instance{} // proven gone
-					case x.On && !x.Here && r.IntN(2) == 0:
-						x.Here = true
-					case x.On && x.Here && r.IntN(3) == 0:
+					case x.Wanted && !x.Placed && r.IntN(2) == 0:
+						x.Placed = true
+					case x.Wanted && x.Placed && r.IntN(3) == 0:
 						x.Healthy, x.Sick = true, false
-					case x.On && r.IntN(60) == 0:
-						x.Here, x.Healthy = false, false // lost with its machine
-					case x.On && x.Here && r.IntN(60) == 0:
+					case x.Wanted && r.IntN(60) == 0:
+						x.Placed, x.Healthy = false, false // lost with its machine
+					case x.Wanted && x.Placed && r.IntN(60) == 0:
 						x.Healthy, x.Sick = false, r.IntN(2) == 0
 					}
 				}
@@ -73,7 +73,7 @@
 		}
 	}
 	if ended < 300 {
-		t.Errorf("only %d roll-outs came to an end", ended)
+		t.Errorf("only %d roll-outs ended, want at least 300", ended)
 	}
 }
 
@@ -81,15 +81,15 @@
  "bundle":"b","size_gb":1,"hulls":null,"yard":null,"same_place":false,"apart":false,"loaners":false,"expect_s":0,"snapshot_s":0,"stow_s":0},
  "by":"ana","steps":[1,"50%"],"surge":"25%","health":{"port":8000,"path":"/healthz/{task}"},"bake_s":5}`
 
-// TestRequest guards what is refused at the door: whatever could never advance, or
-// would have a controller ask somebody else than the instance's machine.
+// TestRequest guards against accepting a roll-out that could never advance, or one whose
+// checks would go to another host than the instance's machine.
 func TestRequest(t *testing.T) {
 	p, err := wire.DecodeRollout([]byte(request))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(p.Steps) != 3 || p.Steps[1].Of(8) != 4 || p.Steps[2].Of(8) != 8 || p.Surge.Of(8) != 2 || p.Health.Fails != 3 || p.Job.Tasks != 8 {
-		t.Errorf("read as %+v, health %+v", p, p.Health)
+		t.Errorf("decoded as %+v, health %+v", p, p.Health)
 	}
 	for _, c := range []struct{ from, to, why string }{
 		{`"steps":[1,"50%"]`, `"steps":[4,"50%"]`, "no further"},
@@ -117,49 +117,49 @@
 	} {
 		bad := strings.Replace(request, c.from, c.to, 1)
 		if bad == request {
-			t.Fatalf("%s isn't there", c.from)
+			t.Fatalf("the request doesn't contain %s", c.from)
 		}
 		if _, err := wire.DecodeRollout([]byte(bad)); err == nil || !strings.Contains(err.Error(), c.why) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s got %v, want something with %q", c.to, err, c.why)
+			t.Errorf("%s got %v, want an error with %q", c.to, err, c.why)
 		}
 	}
 }
 
-// TestRecord guards what a leader reads: the whole of a service's record, within a
-// value's limit even for the largest service with instances here and there, and
-// nothing of one that can't be read.
+// TestRecord guards against a record that loses fields, that exceeds the size limit of
+// a value for the largest service with scattered instances, or that decodes despite an
+// error.
 func TestRecord(t *testing.T) {
 	p, err := wire.DecodeRollout([]byte(request))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Health = nil
-	r := Record{V: format, N: 7, Cur: &version{Job: "j-1", Tasks: MostInstances, On: setOf(MostInstances)}, New: &version{Job: "j-2", Tasks: MostInstances},
-		Roll: &roll{Plan: p, State: Baking, Step: 1, At: 5, Since: 6, Ends: 2, Why: strings.Repeat("w", mostText), Zones: []string{"a", "b"}}}
-	for range mostProofs {
-		r.Roll.Proofs = append(r.Roll.Proofs, strings.Repeat("p", mostText))
+	r := Record{V: recordFormat, Number: 7, Current: &version{Job: "j-1", Tasks: MaxInstances, Wanted: fullSet(MaxInstances)}, New: &version{Job: "j-2", Tasks: MaxInstances},
+		Rollout: &activeRollout{Plan: p, State: Baking, Step: 1, StartedMS: 5, SinceMS: 6, Ends: 2, Why: strings.Repeat("w", maxTextBytes), Zones: []string{"a", "b"}}}
+	for range maxEvidence {
+		r.Rollout.Evidence = append(r.Rollout.Evidence, strings.Repeat("p", maxTextBytes))
 	}
-	for i := 0; i < MostInstances; i += 2 {
-		r.New.On.Set(uint(i))
-		r.Cur.On.Clear(uint(i))
+	for i := 0; i < MaxInstances; i += 2 {
+		r.New.Wanted.Set(uint(i))
+		r.Current.Wanted.Clear(uint(i))
 	}
 	b := r.encode()
 	if len(b) > 4096 {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("the record has %d bytes, want at most 4096", len(b))
 	}
 	got, err := Decode("shop", b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.New.On.size() != MostInstances/2 || !got.New.On.has(2) || got.Cur.On.has(2) || got.Roll.Step != 1 || got.Roll.Plan.BakeS != 5 || len(got.Roll.Proofs) != mostProofs ||
-		got.Roll.Plan.Surge.Of(8) != 2 {
-		t.Errorf("read as %+v", got.Roll)
+	if got.New.Wanted.size() != MaxInstances/2 || !got.New.Wanted.has(2) || got.Current.Wanted.has(2) || got.Rollout.Step != 1 || got.Rollout.Plan.BakeS != 5 || len(got.Rollout.Evidence) != maxEvidence ||
+		got.Rollout.Plan.Surge.Of(8) != 2 {
+		t.Errorf("decoded as %+v", got.Rollout)
 	}
 	c := got.copy()
-	c.New.On.Set(1)
-	c.Roll.Proofs[0] = ""
-	if got.New.On.has(1) || got.Roll.Proofs[0] == "" {
-		t.Error("a copy shares what it should not")
+	c.New.Wanted.Set(1)
+	c.Rollout.Evidence[0] = ""
+	if got.New.Wanted.has(1) || got.Rollout.Evidence[0] == "" {
+		t.Error("a change of a copy changed the original")
 	}
 	var m map[string]any
 	if err := json.Unmarshal(b, &m); err != nil {
@@ -170,10 +170,10 @@
 		bad()
 		x, _ := json.Marshal(m)
 		if _, err := Decode("shop", x); err == nil {
-			t.Errorf("%.60s was read", x)
+			t.Errorf("%.60s was decoded, want an error", x)
 		}
 	}
 	if _, err := Decode("shop", []byte(`"x"`)); err == nil {
-		t.Error("a text was read")
+		t.Error("a JSON string was decoded, want an error")
 	}
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -1,7 +1,6 @@
-// Package rollout replaces the instances of a service by those of a new version,
-// in steps that begin only while health checks pass, and brings the last good
-// version back by itself where they fail. docs/rollouts.md says why it is built
-// this way.
+// Package rollout replaces the instances of a service with those of a new version,
+// in steps that begin only while health checks pass. If they fail, it restores the
+// last good version without a user's request. docs/rollouts.md explains the design.
 package rollout
 
 import (
@@ -16,43 +15,43 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Keys: a record for each service, and one for each roll-out that is over.
+// Prefixes of the keys: each service has a record, and so has each roll-out that is over.
 const (
 	Prefix        = statestore.Prefix + "s/"
 	HistoryPrefix = statestore.Prefix + "h/"
-	format        = 1
+	recordFormat  = 1
 )
 
 const (
-	// MostInstances bounds a service that is rolled out: which of its instances are
-	// wanted has to fit into its record.
-	MostInstances = 4096
-	// MostServices bounds the services that are remembered.
-	MostServices = 1000
-	// keepHistory is how many roll-outs of a service are remembered.
-	keepHistory = 20
-	mostText    = 200 // bytes of a reason or a piece of evidence
-	mostProofs  = 6
+	// MaxInstances is the largest number of instances of a service that is rolled
+	// out: the sets of its wanted instances have to fit into its record.
+	MaxInstances = 4096
+	// MaxServices is the largest number of services with a record.
+	MaxServices = 1000
+	// maxHistory is how many ended roll-outs of a service are kept.
+	maxHistory   = 20
+	maxTextBytes = 200 // bytes of a reason or a piece of evidence
+	maxEvidence  = 6
 )
 
 // State of a roll-out.
 type State string
 
-// The states. Stuck is left by a user only.
+// The states. Only a user's request ends Stuck.
 const (
-	Waiting   State = "waiting"   // for another service's roll-out
-	Rolling   State = "rolling"   // a step's instances are being replaced
-	Baking    State = "baking"    // the step is watched
-	Watching  State = "watching"  // all is replaced, and watched
-	Returning State = "returning" // the old version comes back
-	Stuck     State = "stuck"     // neither version does; nothing is changed
-	Done      State = "done"
-	Returned  State = "rolled back"
-	Withdrawn State = "withdrawn"
+	Waiting     State = "waiting"   // for another service's roll-out to succeed
+	Rolling     State = "rolling"   // a step's instances are being replaced
+	Baking      State = "baking"    // the instances of the step are observed before the next one begins
+	Watching    State = "watching"  // all instances are replaced and are observed
+	RollingBack State = "returning" // the old version is being restored
+	Stuck       State = "stuck"     // there is no working version to return to; nothing is changed
+	Done        State = "done"
+	RolledBack  State = "rolled back"
+	Withdrawn   State = "withdrawn"
 )
 
-// Over reports whether nothing is done any more.
-func (s State) Over() bool { return s == Done || s == Returned || s == Withdrawn }
+// Over reports whether the roll-out has ended.
+func (s State) Over() bool { return s == Done || s == RolledBack || s == Withdrawn }
 
 // Key is the key of a service's record.
 func Key(name string) string { return Prefix + name }
@@ -60,37 +59,37 @@
 // HistoryKey is the key of the n-th roll-out of a service, once it is over.
 func HistoryKey(name string, n int) string { return fmt.Sprintf("%s%s/%d", HistoryPrefix, name, n) }
 
-// set is a set of a version's instances, in JSON the bits in base64. (A Roaring
-// bitmap takes two bytes for each member of a small scattered set: 4 KiB for every
-// other of 4096 instances, which is a whole value.)
-type set struct{ bitset.BitSet }
+// instanceSet is a set of a version's instances. Its JSON form is the bits in
+// base64. A Roaring bitmap takes two bytes for each member of a scattered set: every
+// second one of 4096 instances would take 4 KiB, the size limit of a stored value.
+type instanceSet struct{ bitset.BitSet }
 
-func setOf(n int) set {
-	var s set
+func fullSet(n int) instanceSet {
+	var s instanceSet
 	for i := range n {
 		s.Set(uint(i))
 	}
 	return s
 }
 
-func (s *set) has(i int) bool { return s.Test(uint(i)) }
-func (s *set) size() int      { return int(s.Count()) }
-func (s *set) add(is []int) {
+func (s *instanceSet) has(i int) bool { return s.Test(uint(i)) }
+func (s *instanceSet) size() int      { return int(s.Count()) }
+func (s *instanceSet) add(is []int) {
 	for _, i := range is {
 		s.Set(uint(i))
 	}
 }
 
-func (s *set) remove(is []int) {
+func (s *instanceSet) remove(is []int) {
 	for _, i := range is {
 		s.Clear(uint(i))
 	}
 }
 
-func (s *set) clone() set { return set{*s.Clone()} }
+func (s *instanceSet) clone() instanceSet { return instanceSet{*s.Clone()} }
 
 // MarshalJSON implements json.Marshaler.
-func (s set) MarshalJSON() ([]byte, error) {
+func (s instanceSet) MarshalJSON() ([]byte, error) {
 	words := s.Words()
 	for len(words) > 0 && words[len(words)-1] == 0 {
 		words = words[:len(words)-1]
@@ -102,9 +101,9 @@
 	return json.Marshal(base64.RawStdEncoding.EncodeToString(b))
 }
 
-// UnmarshalJSON implements json.Unmarshaler. The library's own reader makes room
-// for as many bits as a damaged value names.
-func (s *set) UnmarshalJSON(b []byte) error {
+// UnmarshalJSON implements json.Unmarshaler. The library's decoder is not used: it
+// allocates as many bits as a corrupt value claims to have.
+func (s *instanceSet) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
 		return fmt.Errorf("set of instances: %w", err)
@@ -113,7 +112,7 @@
 	if err != nil {
 		return fmt.Errorf("set of instances: %w", err)
 	}
-	if len(raw)%8 != 0 || len(raw) > MostInstances/8 {
+	if len(raw)%8 != 0 || len(raw) > MaxInstances/8 {
 		return fmt.Errorf("set of instances: %d bytes", len(raw))
 	}
 	words := make([]uint64, len(raw)/8)
@@ -124,160 +123,162 @@
 	return nil
 }
 
-// version is one job that is a version of the service.
+// version is a version of the service: a job.
 type version struct {
-	Job   string       `json:"j"`
-	Tasks int          `json:"k"`
-	On    set          `json:"on"` // the instances that are wanted
-	Check *wire.Health `json:"h,omitempty"`
+	Job    string       `json:"j"`
+	Tasks  int          `json:"k"`
+	Wanted instanceSet  `json:"on"` // the instances that are to run
+	Health *wire.Health `json:"h,omitempty"`
 }
 
-// Record is what the state service keeps of a service.
+// Record is the stored state of a service.
 type Record struct {
-	V      int      `json:"v"`
-	Cur    *version `json:"cur,omitempty"` // the last good version
-	New    *version `json:"new,omitempty"` // the one that is rolled out, nil if none is
-	Ended  bool     `json:"end,omitempty"` // withdrawn
-	N      int      `json:"n"`             // number of the newest roll-out
-	Roll   *roll    `json:"r,omitempty"`
-	Change string   `json:"c,omitempty"` // names the write
+	V       int            `json:"v"`
+	Current *version       `json:"cur,omitempty"` // the last good version
+	New     *version       `json:"new,omitempty"` // the version that is being rolled out, nil if none is
+	Ended   bool           `json:"end,omitempty"` // withdrawn
+	Number  int            `json:"n"`             // of the newest roll-out
+	Rollout *activeRollout `json:"r,omitempty"`
+	Nonce   string         `json:"c,omitempty"` // makes each write unique
 }
 
-// roll is the roll-out under way.
-type roll struct {
-	Plan   *wire.Rollout `json:"p"`
-	State  State         `json:"s"`
-	Paused bool          `json:"z,omitempty"`
-	Step   int           `json:"i"`  // from 0
-	At     int64         `json:"at"` // ms of the time of day at its start
-	Since  int64         `json:"t"`  // ms of the time of day at the last step forward
-	// Zones are the old instances' when the roll-out began, where it goes by zone.
-	Zones  []string `json:"zs,omitempty"`
-	Ends   int      `json:"e,omitempty"` // new instances that ended by themselves
-	Why    string   `json:"w,omitempty"`
-	Proofs []string `json:"ev,omitempty"`
+// activeRollout is the roll-out in progress.
+type activeRollout struct {
+	Plan      *wire.Rollout `json:"p"`
+	State     State         `json:"s"`
+	Paused    bool          `json:"z,omitempty"`
+	Step      int           `json:"i"`  // from 0
+	StartedMS int64         `json:"at"` // wall clock, in ms
+	SinceMS   int64         `json:"t"`  // wall clock at the last change of state or step, or resumption, in ms
+	// Zones are the zones of the old instances when a roll-out by zone began, in the
+	// order of their replacement.
+	Zones    []string `json:"zs,omitempty"`
+	Ends     int      `json:"e,omitempty"` // how often new instances ended by themselves
+	Why      string   `json:"w,omitempty"`
+	Evidence []string `json:"ev,omitempty"`
 }
 
-// past is a roll-out that is over.
-type past struct {
-	V      int      `json:"v"`
-	N      int      `json:"n"`
-	From   string   `json:"f,omitempty"`
-	To     string   `json:"j"`
-	By     string   `json:"by,omitempty"`
-	At     int64    `json:"at"`
-	EndAt  int64    `json:"end"`
-	State  State    `json:"s"`
-	Step   int      `json:"i"`
-	Steps  int      `json:"of"`
-	All    int      `json:"k"`
-	Why    string   `json:"w,omitempty"`
-	Proofs []string `json:"ev,omitempty"`
+// pastRollout is the record of a roll-out that is over.
+type pastRollout struct {
+	V         int      `json:"v"`
+	Number    int      `json:"n"`
+	From      string   `json:"f,omitempty"`
+	To        string   `json:"j"`
+	By        string   `json:"by,omitempty"`
+	StartedMS int64    `json:"at"`
+	EndMS     int64    `json:"end"`
+	State     State    `json:"s"`
+	Step      int      `json:"i"`
+	Steps     int      `json:"of"`
+	All       int      `json:"k"`
+	Why       string   `json:"w,omitempty"`
+	Evidence  []string `json:"ev,omitempty"`
 }
 
 func clip(s string) string {
-	if len(s) > mostText {
-		s = s[:mostText]
+	if len(s) > maxTextBytes {
+		s = s[:maxTextBytes]
 	}
 	return s
 }
 
-// Decode reads a service's record. One that can't be read is an error, never an
-// absent service.
+// Decode decodes a service's record. A record that can't be decoded is an error and
+// never counts as an absent service.
 func Decode(name string, b []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(b, &r); err != nil {
 		return nil, fmt.Errorf("record of service %s: %w", name, err)
 	}
-	if r.V != format {
+	if r.V != recordFormat {
 		return nil, fmt.Errorf("record of service %s: format %d is not known here", name, r.V)
 	}
-	for _, v := range []*version{r.Cur, r.New} {
-		if v != nil && (v.Job == "" || v.Tasks < 1 || v.Tasks > MostInstances || beyond(&v.On, v.Tasks)) {
+	for _, v := range []*version{r.Current, r.New} {
+		if v != nil && (v.Job == "" || v.Tasks < 1 || v.Tasks > MaxInstances || hasMemberFrom(&v.Wanted, v.Tasks)) {
 			return nil, fmt.Errorf("record of service %s: version %q with %d instances", name, v.Job, v.Tasks)
 		}
 	}
-	if (r.Roll != nil) != (r.New != nil) || r.Roll != nil && r.Roll.Plan == nil {
+	if (r.Rollout != nil) != (r.New != nil) || r.Rollout != nil && r.Rollout.Plan == nil {
 		return nil, fmt.Errorf("record of service %s: a roll-out without a plan or a new version", name)
 	}
 	return &r, nil
 }
 
-func beyond(s *set, n int) bool {
+func hasMemberFrom(s *instanceSet, n int) bool {
 	_, found := s.NextSet(uint(n))
 	return found
 }
 
-// copy is a record that can be changed while the old one is still in force.
+// copy returns a copy whose versions, evidence and roll-out state can be changed
+// while r is still in force.
 func (r *Record) copy() *Record {
 	c := *r
-	for _, v := range []**version{&c.Cur, &c.New} {
+	for _, v := range []**version{&c.Current, &c.New} {
 		if *v != nil {
 			x := **v
-			x.On = x.On.clone()
+			x.Wanted = x.Wanted.clone()
 			*v = &x
 		}
 	}
-	if c.Roll != nil {
-		x := *c.Roll
-		x.Proofs = append([]string(nil), x.Proofs...)
-		c.Roll = &x
+	if c.Rollout != nil {
+		x := *c.Rollout
+		x.Evidence = append([]string(nil), x.Evidence...)
+		c.Rollout = &x
 	}
 	return &c
 }
 
 func (r *Record) encode() []byte { return wire.Encode(r) }
 
-// id names the newest roll-out to people and in the log.
-func (r *Record) id(name string) string { return fmt.Sprintf("%s/%d", name, r.N) }
+// id is the ID of the newest roll-out, for users and the log.
+func (r *Record) id(name string) string { return fmt.Sprintf("%s/%d", name, r.Number) }
 
-// history is the record of the roll-out that ends now.
-func (r *Record) history(state State, why string, atMS int64) *past {
-	p := &past{V: format, N: r.N, To: r.New.Job, By: r.Roll.Plan.By, At: r.Roll.At, EndAt: atMS, State: state,
-		Step: r.Roll.Step + 1, Steps: r.steps(), All: r.New.Tasks, Why: clip(why), Proofs: r.Roll.Proofs}
-	if r.Cur != nil {
-		p.From = r.Cur.Job
+// history returns the record of the current roll-out, which ends now.
+func (r *Record) history(state State, why string, atMS int64) *pastRollout {
+	p := &pastRollout{V: recordFormat, Number: r.Number, To: r.New.Job, By: r.Rollout.Plan.By, StartedMS: r.Rollout.StartedMS, EndMS: atMS, State: state,
+		Step: r.Rollout.Step + 1, Steps: r.steps(), All: r.New.Tasks, Why: clip(why), Evidence: r.Rollout.Evidence}
+	if r.Current != nil {
+		p.From = r.Current.Job
 	}
 	return p
 }
 
-func decodePast(key string, b []byte) (*past, error) {
-	var p past
-	if err := json.Unmarshal(b, &p); err != nil || p.V != format {
+func decodePast(key string, b []byte) (*pastRollout, error) {
+	var p pastRollout
+	if err := json.Unmarshal(b, &p); err != nil || p.V != recordFormat {
 		return nil, fmt.Errorf("roll-out %s can't be read (format %d): %w", key, p.V, err)
 	}
 	return &p, nil
 }
 
-// steps is how many steps the roll-out has.
+// steps returns how many steps the roll-out has.
 func (r *Record) steps() int {
-	if r.Roll.Plan.ByZone {
-		return max(1, len(r.Roll.Zones))
+	if r.Rollout.Plan.ByZone {
+		return max(1, len(r.Rollout.Zones))
 	}
-	return len(r.Roll.Plan.Steps)
+	return len(r.Rollout.Plan.Steps)
 }
 
-// view shows the roll-out under way.
+// view returns what users see of the roll-out in progress, nil if there is none.
 func (r *Record) view(name string) *wire.RolloutView {
-	if r.Roll == nil {
+	if r.Rollout == nil {
 		return nil
 	}
-	v := &wire.RolloutView{ID: r.id(name), To: r.New.Job, By: r.Roll.Plan.By, AtMS: r.Roll.At, State: string(r.Roll.State), Paused: r.Roll.Paused,
-		Step: r.Roll.Step + 1, Steps: r.steps(), New: r.New.On.size(), All: r.New.Tasks, Why: r.Roll.Why, Evidence: r.Roll.Proofs}
-	if r.Cur != nil {
-		v.From, v.Old = r.Cur.Job, r.Cur.On.size()
+	v := &wire.RolloutView{ID: r.id(name), To: r.New.Job, By: r.Rollout.Plan.By, AtMS: r.Rollout.StartedMS, State: string(r.Rollout.State), Paused: r.Rollout.Paused,
+		Step: r.Rollout.Step + 1, Steps: r.steps(), New: r.New.Wanted.size(), All: r.New.Tasks, Why: r.Rollout.Why, Evidence: r.Rollout.Evidence}
+	if r.Current != nil {
+		v.From, v.Old = r.Current.Job, r.Current.Wanted.size()
 	}
 	return v
 }
 
-func (p *past) view(name string) wire.RolloutView {
-	return wire.RolloutView{ID: fmt.Sprintf("%s/%d", name, p.N), From: p.From, To: p.To, By: p.By, AtMS: p.At, EndMS: p.EndAt, State: string(p.State),
-		Step: p.Step, Steps: p.Steps, All: p.All, Why: p.Why, Evidence: p.Proofs}
+func (p *pastRollout) view(name string) wire.RolloutView {
+	return wire.RolloutView{ID: fmt.Sprintf("%s/%d", name, p.Number), From: p.From, To: p.To, By: p.By, AtMS: p.StartedMS, EndMS: p.EndMS, State: string(p.State),
+		Step: p.Step, Steps: p.Steps, All: p.All, Why: p.Why, Evidence: p.Evidence}
 }
 
-// Jobs are the versions that the record names.
+// Jobs returns the IDs of the versions' jobs.
 func (r *Record) Jobs() (out []string) {
-	for _, v := range []*version{r.Cur, r.New} {
+	for _, v := range []*version{r.Current, r.New} {
 		if v != nil {
 			out = append(out, v.Job)
 		}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -12,82 +12,85 @@
 	"brooklb/internal/wire"
 )
 
-// Config of the leader's actor.
+// Config configures an Actor.
 type Config struct {
-	Share  float64       // of a core that the process has; 0: all
-	Report time.Duration // between a worker's reports
+	CPUShare       float64       // part of a core that the process may use; 0: a whole core
+	ReportInterval time.Duration // between the reports of a worker
 }
 
-// Actor moves the roll-outs of all services on, during one term.
+// Actor advances the roll-outs of all services during one term of the leader.
 type Actor struct {
-	env     actor.Env
-	led     *ledger.Ledger
-	store   *statestore.Store
-	token   uint64
-	check   *checker
-	all     map[string]*service
-	active  []*service // those with a roll-out, by name
-	ticked  time.Duration
-	stopped bool
-	// OnDeposed hears that another leads.
+	env      actor.Env
+	ledger   *ledger.Ledger
+	store    *statestore.Store
+	token    uint64
+	checker  *checker
+	services map[string]*service
+	active   []*service // services with a roll-out, sorted by name
+	lastTick time.Duration
+	stopped  bool
+	// OnDeposed is called when a write shows that another node leads.
 	OnDeposed func()
 }
 
-// service is a service as its record says, and what is known besides.
+// service is a service's record and what the leader knows about its roll-out.
 type service struct {
-	name   string
-	rec    *Record
-	stamp  uint64
-	flying bool
-	// progress is when the roll-out last came nearer to its end.
-	progress time.Duration
-	best     int // healthy instances of the version that comes, at most so far
-	ends     map[instanceID]int
-	proofs   []string
-	told     string
-	waits    string // why it comes no further now
-	dirty    time.Duration
+	name    string
+	record  *Record
+	stamp   uint64
+	writing bool
+	// lastProgress is when the roll-out last came nearer to its end.
+	lastProgress time.Duration
+	mostHealthy  int // largest number of healthy instances of the new version so far
+	ends         map[instanceID]int
+	evidence     []string
+	loggedState  string
+	waitReason   string        // why the roll-out doesn't advance now
+	unsavedSince time.Duration // first end of an instance that isn't in the record yet; 0: none
 }
 
 const (
-	// tickEvery is how often a roll-out is looked at.
-	tickEvery = 500 * time.Millisecond
-	// Ends by itself are written this long after the first.
-	noteAfter = 2 * time.Second
-	// So many changes of the state service are left for others.
-	leaveWrites = 4
+	// tickInterval is how often a roll-out is evaluated.
+	tickInterval = 500 * time.Millisecond
+	// saveEndsAfter is how long after the first unsaved end of an instance by itself
+	// the count is written.
+	saveEndsAfter = 2 * time.Second
+	// reservedWrites is how many changes of the write budget are left for other work.
+	reservedWrites = 4
 )
 
-// New makes the actor of a term.
+// New returns the Actor of a term.
 func New(env actor.Env, led *ledger.Ledger, store *statestore.Store, token uint64, cfg Config) *Actor {
-	return &Actor{env: env, led: led, store: store, token: token, all: map[string]*service{},
-		check: newChecker(env, cfg.Share, cfg.Report)}
+	return &Actor{env: env, ledger: led, store: store, token: token, services: map[string]*service{},
+		checker: newChecker(env, cfg.CPUShare, cfg.ReportInterval)}
 }
 
-// Load reads the services' records from the replica. Until then nothing of a
+// Load reads the services' records from the replica. Until then no instance of a
 // service is started or stopped.
 func (a *Actor) Load() {
 	a.store.Each(Prefix, func(k string, it statestore.Item) { a.Event(k, &it) })
 }
 
 // Close ends the term.
-func (a *Actor) Close() { a.stopped = true; a.check.timer.Stop() }
+func (a *Actor) Close() { a.stopped = true; a.checker.timer.Stop() }
 
-// Paused hears that the process was paused.
+// Paused reports that the process was paused for gap, which doesn't count as time
+// without progress.
 func (a *Actor) Paused(gap time.Duration) {
-	a.check.stood()
+	a.checker.discardInFlight()
 	for _, s := range a.active {
-		s.progress += gap
+		s.lastProgress += gap
 	}
 }
 
-// Event hears of a service record's change; it is durable then, and acted on.
+// Event handles a change of a service's record. The change is durable, so the leader
+// acts on it.
 func (a *Actor) Event(key string, it *statestore.Item) {
 	name := strings.TrimPrefix(key, Prefix)
-	s := a.all[name]
+	s := a.services[name]
 	if it == nil {
 		if s != nil {
-			a.env.Log().Error("a service's record has vanished", "service", name)
+			a.env.Log().Error("service record was deleted unexpectedly", "service", name)
 		}
 		return
 	}
@@ -96,180 +99,180 @@
 	}
 	rec, err := Decode(name, it.Value)
 	if err != nil {
-		a.env.Log().Error("service record can't be read, kept as it is, nothing of it is started or stopped", "key", key, "err", err)
+		a.env.Log().Error("service record can't be read; it is left unchanged and no instance of the service is started or stopped", "key", key, "err", err)
 		return
 	}
 	if s == nil {
 		s = &service{name: name, ends: map[instanceID]int{}}
-		a.all[name] = s
+		a.services[name] = s
 	}
-	was := s.rec
-	s.rec, s.stamp = rec, it.Stamp
-	s.progress = a.env.Now()
-	if was == nil || was.N != rec.N || was.Roll == nil || rec.Roll == nil || was.Roll.Step != rec.Roll.Step {
-		s.best = 0
+	previous := s.record
+	s.record, s.stamp = rec, it.Stamp
+	s.lastProgress = a.env.Now()
+	if previous == nil || previous.Number != rec.Number || previous.Rollout == nil || rec.Rollout == nil || previous.Rollout.Step != rec.Rollout.Step {
+		s.mostHealthy = 0
 	}
-	if was == nil || was.N != rec.N {
-		s.ends, s.proofs, s.waits = map[instanceID]int{}, nil, ""
-		if rec.Roll != nil {
-			s.proofs = rec.Roll.Proofs // of an earlier leader
+	if previous == nil || previous.Number != rec.Number {
+		s.ends, s.evidence, s.waitReason = map[instanceID]int{}, nil, ""
+		if rec.Rollout != nil {
+			s.evidence = rec.Rollout.Evidence // collected by an earlier leader
 		}
 	}
-	a.tell(s)
+	a.logState(s)
 	i, found := slices.BinarySearchFunc(a.active, name, func(x *service, n string) int { return strings.Compare(x.name, n) })
 	switch {
-	case rec.Roll != nil && !found:
+	case rec.Rollout != nil && !found:
 		a.active = slices.Insert(a.active, i, s)
-	case rec.Roll == nil && found:
+	case rec.Rollout == nil && found:
 		a.active = slices.Delete(a.active, i, i+1)
 	}
-	a.apply(s, was)
+	a.updateLedger(s, previous)
 }
 
-// tell logs where a roll-out stands.
-func (a *Actor) tell(s *service) {
-	r := s.rec
-	if r.Roll == nil {
-		if s.told != "" {
-			a.env.Log().Info("roll-out over", "id", r.id(s.name), "service", s.name)
-			s.told = ""
+// logState logs the state of a roll-out when it has changed.
+func (a *Actor) logState(s *service) {
+	r := s.record
+	if r.Rollout == nil {
+		if s.loggedState != "" {
+			a.env.Log().Info("roll-out ended", "id", r.id(s.name), "service", s.name)
+			s.loggedState = ""
 		}
 		return
 	}
-	text := fmt.Sprint(r.Roll.State, r.Roll.Step, r.Roll.Paused)
-	if text != s.told {
-		s.told = text
-		a.env.Log().Info("roll-out", "id", r.id(s.name), "state", string(r.Roll.State), "step", r.Roll.Step+1, "of", r.steps(), "to", r.New.Job,
-			"new", r.New.On.size(), "paused", r.Roll.Paused, "why", r.Roll.Why)
+	text := fmt.Sprint(r.Rollout.State, r.Rollout.Step, r.Rollout.Paused)
+	if text != s.loggedState {
+		s.loggedState = text
+		a.env.Log().Info("roll-out", "id", r.id(s.name), "state", string(r.Rollout.State), "step", r.Rollout.Step+1, "of", r.steps(), "to", r.New.Job,
+			"new", r.New.Wanted.size(), "paused", r.Rollout.Paused, "why", r.Rollout.Why)
 	}
 }
 
-// apply makes the ledger follow the record: what is wanted may be started, what
-// is not is stopped.
-func (a *Actor) apply(s *service, was *Record) {
-	for _, v := range []*version{s.rec.Cur, s.rec.New} {
+// updateLedger makes the ledger follow the record: wanted instances may be started,
+// the others are stopped.
+func (a *Actor) updateLedger(s *service, previous *Record) {
+	for _, v := range []*version{s.record.Current, s.record.New} {
 		if v == nil {
 			continue
 		}
-		j := a.led.Jobs[v.Job]
+		j := a.ledger.Jobs[v.Job]
 		if j == nil {
 			continue
 		}
-		j.Rolling = s.rec.Roll != nil
+		j.Rolling = s.record.Rollout != nil
 		j.Zone, j.Port, j.PerTask = "", 0, false
-		if v.Check != nil {
-			j.Port, j.PerTask = v.Check.Port, v.Check.PerTask
+		if v.Health != nil {
+			j.Port, j.PerTask = v.Health.Port, v.Health.PerTask
 		}
-		if v == s.rec.New && s.rec.Roll.Plan.ByZone && s.rec.Roll.State == Rolling {
-			j.Zone = s.rec.target(a.side(s.rec.Cur, s)).zone
+		if v == s.record.New && s.record.Rollout.Plan.ByZone && s.record.Rollout.State == Rolling {
+			j.Zone = s.record.target(a.instancesOf(s.record.Current, s)).zone
 		}
-		a.led.SetWanted(j, func(i int) bool { return i < v.Tasks && v.On.has(i) })
+		a.ledger.SetWanted(j, func(i int) bool { return i < v.Tasks && v.Wanted.has(i) })
 		for i := range j.Tasks {
 			if p := j.Tasks[i].CurrentPlacement; p != nil && j.Tasks[i].Unwanted && !p.Stopping {
-				a.led.Stop(p, p.Grace(), "replaced in roll-out "+s.rec.id(s.name))
+				a.ledger.Stop(p, p.Grace(), "replaced in roll-out "+s.record.id(s.name))
 			}
 		}
 	}
-	if was != nil {
-		for _, v := range []*version{was.Cur, was.New} {
-			if v != nil && s.rec.Roll == nil {
-				a.check.forgetJob(v.Job, v.Tasks)
+	if previous != nil {
+		for _, v := range []*version{previous.Current, previous.New} {
+			if v != nil && s.record.Rollout == nil {
+				a.checker.forgetJob(v.Job, v.Tasks)
 			}
 		}
 	}
 }
 
-// Ended hears that a task of a service ended by itself.
+// Ended handles the end of a service's task that ended by itself.
 func (a *Actor) Ended(p *ledger.Placement, cause string) {
 	if p.Job.Service == "" {
 		return
 	}
-	s := a.all[p.Job.Service]
-	if s == nil || s.rec.Roll == nil || p.Stopping || p.Job.Tasks[p.Task].Unwanted {
+	s := a.services[p.Job.Service]
+	if s == nil || s.record.Rollout == nil || p.Stopping || p.Job.Tasks[p.Task].Unwanted {
 		return
 	}
-	r := s.rec.Roll
-	back := r.State == Returning
-	if back == (s.rec.New.Job == p.Job.Spec.ID) { // only the version that comes counts
+	r := s.record.Rollout
+	rollingBack := r.State == RollingBack
+	if rollingBack == (s.record.New.Job == p.Job.Spec.ID) { // only ends of the incoming version count
 		return
 	}
 	s.ends[instanceID{p.Job.Spec.ID, p.Task}]++
-	s.note(fmt.Sprintf("%s/%d on %s ended by itself: %s", p.Job.Spec.ID, p.Task, p.Host.Name, cause))
-	if s.dirty == 0 {
-		s.dirty = a.env.Now()
+	s.addEvidence(fmt.Sprintf("%s/%d on %s ended by itself: %s", p.Job.Spec.ID, p.Task, p.Host.Name, cause))
+	if s.unsavedSince == 0 {
+		s.unsavedSince = a.env.Now()
 	}
 }
 
-func (s *service) note(proof string) {
-	if len(s.proofs) < mostProofs && !slices.Contains(s.proofs, clip(proof)) {
-		s.proofs = append(s.proofs, clip(proof))
+func (s *service) addEvidence(text string) {
+	if len(s.evidence) < maxEvidence && !slices.Contains(s.evidence, clip(text)) {
+		s.evidence = append(s.evidence, clip(text))
 	}
 }
 
-// side is what is known of a version's instances now.
-func (a *Actor) side(v *version, s *service) side {
+// instancesOf returns the current state of a version's instances.
+func (a *Actor) instancesOf(v *version, s *service) instances {
 	if v == nil {
 		return nil
 	}
-	out := make(side, v.Tasks)
-	j := a.led.Jobs[v.Job]
+	out := make(instances, v.Tasks)
+	j := a.ledger.Jobs[v.Job]
 	for i := range out {
 		x := &out[i]
-		x.On = v.On.has(i)
+		x.Wanted = v.Wanted.has(i)
 		if j == nil || i >= len(j.Tasks) {
 			continue
 		}
-		x.Sick = len(s.ends) > 0 && s.ends[instanceID{v.Job, i}] >= s.rec.ends()
+		x.Sick = len(s.ends) > 0 && s.ends[instanceID{v.Job, i}] >= s.record.maxEnds()
 		p := j.Tasks[i].CurrentPlacement
 		if p == nil {
 			continue
 		}
-		x.Here, x.Zone = true, p.Host.Zone
-		if c := a.check.all[instanceID{v.Job, i}]; c != nil && c.p == p {
-			x.Healthy, x.Sick = c.healthy(a.check) && !x.Sick, x.Sick || c.sick()
+		x.Placed, x.Zone = true, p.Host.Zone
+		if c := a.checker.instances[instanceID{v.Job, i}]; c != nil && c.placement == p {
+			x.Healthy, x.Sick = c.healthy(a.checker) && !x.Sick, x.Sick || c.sick()
 		}
 	}
 	return out
 }
 
-func (r *Record) ends() int {
-	if r.Roll == nil {
+func (r *Record) maxEnds() int {
+	if r.Rollout == nil {
 		return 1 << 30
 	}
-	return r.Roll.Plan.Ends
+	return r.Rollout.Plan.Ends
 }
 
-// Live is what the leader sees of a service's roll-out, and why it comes no further
-// now; nil if there is none.
+// Live returns the state of the instances in a service's roll-out and why it doesn't
+// advance now; nil if there is no roll-out.
 func (a *Actor) Live(name string) (*wire.RolloutLive, string) {
-	s := a.all[name]
-	if s == nil || s.rec.Roll == nil {
+	s := a.services[name]
+	if s == nil || s.record.Rollout == nil {
 		return nil, ""
 	}
 	v := &wire.RolloutLive{}
-	young := a.side(s.rec.New, s)
-	v.NewHealthy, v.NewSick = young.healthy(), young.sick()
-	v.NewUnknown = young.on() - v.NewHealthy - v.NewSick
-	v.OldHealthy = a.side(s.rec.Cur, s).healthy()
-	if s.rec.New.Check != nil {
-		if a.check.took.TotalCount() > 0 {
-			v.CheckP50MS = float64(a.check.took.ValueAtQuantile(50)) / 1000
-			v.CheckP99MS = float64(a.check.took.ValueAtQuantile(99)) / 1000
+	updated := a.instancesOf(s.record.New, s)
+	v.NewHealthy, v.NewSick = updated.healthy(), updated.sick()
+	v.NewUnknown = updated.wanted() - v.NewHealthy - v.NewSick
+	v.OldHealthy = a.instancesOf(s.record.Current, s).healthy()
+	if s.record.New.Health != nil {
+		if a.checker.latencies.TotalCount() > 0 {
+			v.CheckP50MS = float64(a.checker.latencies.ValueAtQuantile(50)) / 1000
+			v.CheckP99MS = float64(a.checker.latencies.ValueAtQuantile(99)) / 1000
 		}
-		v.CheckEveryS = max(s.rec.New.Check.IntervalS, a.check.every().Seconds())
+		v.CheckEveryS = max(s.record.New.Health.IntervalS, a.checker.fullRound().Seconds())
 	}
-	return v, s.waits
+	return v, s.waitReason
 }
 
-// Tick moves all roll-outs on.
+// Tick advances all roll-outs.
 func (a *Actor) Tick() {
 	now := a.env.Now()
-	if a.stopped || len(a.active) == 0 || now-a.ticked < tickEvery {
+	if a.stopped || len(a.active) == 0 || now-a.lastTick < tickInterval {
 		return
 	}
-	a.ticked = now
+	a.lastTick = now
 	for _, s := range slices.Clone(a.active) {
-		if !s.flying && s.rec.Roll != nil {
+		if !s.writing && s.record.Rollout != nil {
 			a.step(s)
 		}
 		if a.stopped {
@@ -278,10 +281,10 @@
 	}
 }
 
-// over reports whether a version's job is over; ok is false while its record
-// can't be read.
-func (a *Actor) over(v *version) (over, ok bool) {
-	if j := a.led.Jobs[v.Job]; j != nil {
+// jobOver reports whether a version's job is over; ok is false while its record is
+// missing or can't be read.
+func (a *Actor) jobOver(v *version) (over, ok bool) {
+	if j := a.ledger.Jobs[v.Job]; j != nil {
 		return j.Final != ledger.Open, j.Readable()
 	}
 	it, found := a.store.Peek(ledger.JobKey(v.Job))
--- a/internal/rollout/steps.go
+++ b/internal/rollout/steps.go
@@ -8,64 +8,64 @@
 	"time"
 )
 
-// step moves one roll-out on, by at most one write.
+// step advances one roll-out, with at most one write.
 func (a *Actor) step(s *service) {
-	rec := s.rec
-	r := rec.Roll
-	newOver, ok := a.over(rec.New)
+	rec := s.record
+	r := rec.Rollout
+	newOver, ok := a.jobOver(rec.New)
 	if !ok {
-		s.waits = "the record of " + rec.New.Job + " can't be read"
+		s.waitReason = "the record of " + rec.New.Job + " can't be read"
 		return
 	}
-	if rec.Cur != nil {
-		curOver, ok := a.over(rec.Cur)
+	if rec.Current != nil {
+		curOver, ok := a.jobOver(rec.Current)
 		if !ok {
-			s.waits = "the record of " + rec.Cur.Job + " can't be read"
+			s.waitReason = "the record of " + rec.Current.Job + " can't be read"
 			return
 		}
 		if curOver {
-			a.finish(s, Withdrawn, "its version "+rec.Cur.Job+" was withdrawn by its user")
+			a.finish(s, Withdrawn, "its version "+rec.Current.Job+" was withdrawn by its user")
 			return
 		}
 	}
-	if j := a.led.Jobs[rec.New.Job]; j != nil && !j.Rolling {
-		a.apply(s, nil) // the job's record came after the service's
+	if j := a.ledger.Jobs[rec.New.Job]; j != nil && !j.Rolling {
+		a.updateLedger(s, nil) // the job's record arrived after the service's
 	}
 	a.watch(s)
-	old, young := a.side(rec.Cur, s), a.side(rec.New, s)
+	old, updated := a.instancesOf(rec.Current, s), a.instancesOf(rec.New, s)
 	switch {
 	case r.State == Stuck:
-		s.waits = r.Why
-	case newOver && r.State != Returning:
-		a.turn(s, rec.New.Job+" was withdrawn by its user")
-	case r.State == Returning:
-		a.back(s, old, young, newOver)
+		s.waitReason = r.Why
+	case newOver && r.State != RollingBack:
+		a.rollBack(s, rec.New.Job+" was withdrawn by its user")
+	case r.State == RollingBack:
+		a.continueRollback(s, old, updated, newOver)
 	case r.State == Waiting:
-		a.await(s)
+		a.awaitOther(s)
 	default:
-		a.forward(s, old, young)
+		a.advance(s, old, updated)
 	}
-	if s.dirty > 0 && !s.flying && a.env.Now()-s.dirty > noteAfter && s.rec.Roll != nil {
+	if s.unsavedSince > 0 && !s.writing && a.env.Now()-s.unsavedSince > saveEndsAfter && s.record.Rollout != nil {
 		a.write(s, rec.copy(), nil, nil)
 	}
 }
 
-// watch has the running instances of both versions checked.
+// watch begins the checks of both versions' wanted instances and ends those of others.
 func (a *Actor) watch(s *service) {
-	for _, v := range []*version{s.rec.Cur, s.rec.New} {
+	for _, v := range []*version{s.record.Current, s.record.New} {
 		if v == nil {
 			continue
 		}
-		j := a.led.Jobs[v.Job]
+		j := a.ledger.Jobs[v.Job]
 		if j == nil {
-			a.check.forgetJob(v.Job, v.Tasks)
+			a.checker.forgetJob(v.Job, v.Tasks)
 			continue
 		}
 		for i := 0; i < v.Tasks && i < len(j.Tasks); i++ {
-			if v.On.has(i) {
-				a.check.watch(j, i, v.Check)
-			} else if x := a.check.all[instanceID{v.Job, i}]; x != nil {
-				a.check.forget(instanceID{v.Job, i}, x)
+			if v.Wanted.has(i) {
+				a.checker.watch(j, i, v.Health)
+			} else if x := a.checker.instances[instanceID{v.Job, i}]; x != nil {
+				a.checker.forget(instanceID{v.Job, i}, x)
 			}
 		}
 	}
@@ -73,110 +73,112 @@
 
 func (a *Actor) bounds(rec *Record) bounds {
 	old := 0
-	if rec.Cur != nil {
-		old = rec.Cur.Tasks
+	if rec.Current != nil {
+		old = rec.Current.Tasks
 	}
-	p, n := rec.Roll.Plan, rec.New.Tasks
-	return boundsOf(old, n, p.Surge.Of(n), p.Unavailable.Of(n))
+	p, n := rec.Rollout.Plan, rec.New.Tasks
+	return newBounds(old, n, p.Surge.Of(n), p.Unavailable.Of(n))
 }
 
-// failed says why the new version must not go on, "" if nothing speaks against it.
-func (a *Actor) failed(s *service, young side) string {
-	p := s.rec.Roll.Plan
-	tolerate := p.Tolerate.Of(s.rec.New.Tasks)
+// failureReason returns why the roll-out of the new version must stop, "" if it may go
+// on.
+func (a *Actor) failureReason(s *service, updated instances) string {
+	p := s.record.Rollout.Plan
+	tolerate := p.Tolerate.Of(s.record.New.Tasks)
 	sick := 0
-	for i := range young {
-		if !young[i].On || !young[i].Sick {
+	for i := range updated {
+		if !updated[i].Wanted || !updated[i].Sick {
 			continue
 		}
 		sick++
-		if c := a.check.all[instanceID{s.rec.New.Job, i}]; c != nil && c.sick() {
-			s.note(c.proof())
+		if c := a.checker.instances[instanceID{s.record.New.Job, i}]; c != nil && c.sick() {
+			s.addEvidence(c.evidence())
 		}
 	}
-	all := s.rec.Roll.Ends
-	if s.dirty > 0 {
-		all = max(all, s.newEnds())
+	all := s.record.Rollout.Ends
+	if s.unsavedSince > 0 {
+		all = max(all, s.newVersionEnds())
 	}
 	switch {
 	case sick > tolerate:
-		return fmt.Sprintf("%d of %d new instances are sick: %s", sick, young.on(), s.last())
-	case all >= p.Ends+tolerate+young.on()/10:
-		return fmt.Sprintf("new instances ended by themselves %d times: %s", all, s.last())
+		return fmt.Sprintf("%d of %d new instances are sick: %s", sick, updated.wanted(), s.latestEvidence())
+	case all >= p.Ends+tolerate+updated.wanted()/10:
+		return fmt.Sprintf("new instances ended by themselves %d times: %s", all, s.latestEvidence())
 	}
 	return ""
 }
 
-func (s *service) newEnds() (n int) {
+func (s *service) newVersionEnds() (n int) {
 	for id, k := range s.ends {
-		if id.job == s.rec.New.Job {
+		if id.job == s.record.New.Job {
 			n += k
 		}
 	}
 	return n
 }
 
-func (s *service) last() string {
-	if len(s.proofs) == 0 {
+func (s *service) latestEvidence() string {
+	if len(s.evidence) == 0 {
 		return "no evidence was kept"
 	}
-	return s.proofs[len(s.proofs)-1]
+	return s.evidence[len(s.evidence)-1]
 }
 
-// forward moves a roll-out on whose new version does well so far.
-func (a *Actor) forward(s *service, old, young side) {
-	rec, r := s.rec, s.rec.Roll
-	if why := a.failed(s, young); why != "" {
-		a.turn(s, why)
+// advance moves a roll-out towards the new version. It rolls back if the new version
+// fails or makes no progress for too long.
+func (a *Actor) advance(s *service, old, updated instances) {
+	rec, r := s.record, s.record.Rollout
+	if why := a.failureReason(s, updated); why != "" {
+		a.rollBack(s, why)
 		return
 	}
-	if r.State == Rolling && young.on() == 0 {
-		if port := a.workersPort(rec.New); port > 0 {
-			a.finish(s, Returned, fmt.Sprintf("not begun: port %d is the workers' own", port))
+	if r.State == Rolling && updated.wanted() == 0 {
+		if port := a.conflictingPort(rec.New); port > 0 {
+			a.finish(s, RolledBack, fmt.Sprintf("not begun: port %d is the workers' own", port))
 			return
 		}
 	}
 	now := a.env.Now()
 	tolerate := r.Plan.Tolerate.Of(rec.New.Tasks)
-	if n := young.healthy(); n > s.best {
-		s.best, s.progress = n, now
+	if n := updated.healthy(); n > s.mostHealthy {
+		s.mostHealthy, s.lastProgress = n, now
 	}
 	stall := time.Duration(r.Plan.StallS * float64(time.Second))
-	if r.Plan.ByZone && r.Zones == nil && rec.Cur != nil {
-		a.findZones(s, old)
+	if r.Plan.ByZone && r.Zones == nil && rec.Current != nil {
+		a.recordZones(s, old)
 		return
 	}
 	t := rec.target(old)
-	t.k = max(t.k, young.on())
-	well := young.healthy() >= t.k-tolerate
-	since := time.Duration(a.env.Wall().UnixMilli()-r.Since) * time.Millisecond
+	t.newCount = max(t.newCount, updated.wanted())
+	healthyEnough := updated.healthy() >= t.newCount-tolerate
+	since := time.Duration(a.env.Wall().UnixMilli()-r.SinceMS) * time.Millisecond
 	switch r.State {
 	case Rolling:
-		s.waits = a.waiting(s, young, t)
+		s.waitReason = a.waitReason(s, updated, t)
 		if r.Paused {
-			s.waits, s.progress = "paused", now
+			s.waitReason, s.lastProgress = "paused", now
 			return
 		}
-		if now-s.progress > stall {
-			a.turn(s, fmt.Sprintf("no progress for %.0f s: %s", (now-s.progress).Seconds(), s.waits))
+		if now-s.lastProgress > stall {
+			a.rollBack(s, fmt.Sprintf("no progress for %.0f s: %s", (now-s.lastProgress).Seconds(), s.waitReason))
 			return
 		}
-		done := young.on() >= t.k && well && old.on() <= t.keep && old.gone() && young.gone()
-		on, off := swap(young, old, t.k, t.keep, a.bounds(rec), func(i int) bool { return t.zone == "" || rec.mayGo(old[i].Zone) })
-		if len(on)+len(off) > 0 {
+		done := updated.wanted() >= t.newCount && healthyEnough && old.wanted() <= t.oldCount && old.allStopped() && updated.allStopped()
+		start, stop := swap(updated, old, t.newCount, t.oldCount, a.bounds(rec), func(i int) bool { return t.zone == "" || rec.mayReplace(old[i].Zone) })
+		if len(start)+len(stop) > 0 {
 			c := rec.copy()
-			c.New.On.add(on)
-			c.Cur.On.remove(off)
-			c.Roll.Why = clip(s.waits)
+			c.New.Wanted.add(start)
+			c.Current.Wanted.remove(stop)
+			c.Rollout.Why = clip(s.waitReason)
 			a.write(s, c, nil, nil)
 			return
 		}
 		if done {
 			c := rec.copy()
-			c.Roll.Since, c.Roll.Why = a.env.Wall().UnixMilli(), ""
-			c.Roll.State = Baking
+			c.Rollout.SinceMS, c.Rollout.Why = a.env.Wall().UnixMilli(), ""
+			c.Rollout.State = Baking
 			if t.last {
-				c.Roll.State = Watching
+				c.Rollout.State = Watching
 			}
 			a.write(s, c, nil, nil)
 		}
@@ -187,40 +189,40 @@
 			wait = max(r.Plan.WindowS, r.Plan.BakeS)
 		}
 		rest := time.Duration(wait*float64(time.Second)) - since
-		s.waits = fmt.Sprintf("watched for another %.0f s", max(0, rest.Seconds()))
+		s.waitReason = fmt.Sprintf("watched for another %.0f s", max(0, rest.Seconds()))
 		switch {
 		case r.Paused:
-			s.waits, s.progress = "paused", now
+			s.waitReason, s.lastProgress = "paused", now
 		case rest > 0:
-			s.progress = now
-		case !well:
-			s.waits = a.waiting(s, young, t)
-			if now-s.progress > stall {
-				a.turn(s, fmt.Sprintf("no progress for %.0f s: %s", (now-s.progress).Seconds(), s.waits))
+			s.lastProgress = now
+		case !healthyEnough:
+			s.waitReason = a.waitReason(s, updated, t)
+			if now-s.lastProgress > stall {
+				a.rollBack(s, fmt.Sprintf("no progress for %.0f s: %s", (now-s.lastProgress).Seconds(), s.waitReason))
 			}
 		case last:
 			a.finish(s, Done, "")
 		default:
 			c := rec.copy()
-			c.Roll.State, c.Roll.Step, c.Roll.Since = Rolling, r.Step+1, a.env.Wall().UnixMilli()
+			c.Rollout.State, c.Rollout.Step, c.Rollout.SinceMS = Rolling, r.Step+1, a.env.Wall().UnixMilli()
 			a.write(s, c, nil, nil)
 		}
 	}
 }
 
-// workersPort is a port of the version's checks on which machines have their workers,
-// 0 if there is none.
-func (a *Actor) workersPort(v *version) int {
-	if v.Check == nil {
+// conflictingPort returns a port of the version's checks that is also the port of a
+// machine's worker, 0 if there is none.
+func (a *Actor) conflictingPort(v *version) int {
+	if v.Health == nil {
 		return 0
 	}
-	last := v.Check.Port
-	if v.Check.PerTask {
+	last := v.Health.Port
+	if v.Health.PerTask {
 		last += v.Tasks - 1
 	}
-	for _, m := range a.led.MachinesByName() {
+	for _, m := range a.ledger.MachinesByName() {
 		if _, text, err := net.SplitHostPort(m.ListedAddr); err == nil {
-			if port, err := strconv.Atoi(text); err == nil && port >= v.Check.Port && port <= last {
+			if port, err := strconv.Atoi(text); err == nil && port >= v.Health.Port && port <= last {
 				return port
 			}
 		}
@@ -228,25 +230,25 @@
 	return 0
 }
 
-// mayGo reports whether instances in the zone may be replaced by now.
-func (r *Record) mayGo(zone string) bool {
-	i := slices.Index(r.Roll.Zones, zone)
-	return i <= r.Roll.Step // unknown ones too
+// mayReplace reports whether instances in the zone may be replaced in this step.
+func (r *Record) mayReplace(zone string) bool {
+	i := slices.Index(r.Rollout.Zones, zone)
+	return i <= r.Rollout.Step // also for zones that are not in the list: i is -1
 }
 
-// waiting says in a sentence what a roll-out waits for.
-func (a *Actor) waiting(s *service, young side, t target) string {
-	text := fmt.Sprintf("%d of %d new instances are healthy", young.healthy(), t.k)
+// waitReason describes in a sentence what a roll-out waits for.
+func (a *Actor) waitReason(s *service, updated instances, t target) string {
+	text := fmt.Sprintf("%d of %d new instances are healthy", updated.healthy(), t.newCount)
 	unknown, placed := 0, 0
-	for i := range young {
-		if x := &young[i]; x.On && x.Here {
+	for i := range updated {
+		if x := &updated[i]; x.Wanted && x.Placed {
 			placed++
 			if !x.Healthy && !x.Sick {
 				unknown++
 			}
 		}
 	}
-	if j := a.led.Jobs[s.rec.New.Job]; j != nil && placed < young.on() && j.WaitReason != "" {
+	if j := a.ledger.Jobs[s.record.New.Job]; j != nil && placed < updated.wanted() && j.WaitReason != "" {
 		return text + ", others have no machine: " + j.WaitReason
 	}
 	if unknown > 0 {
@@ -255,98 +257,100 @@
 	return text
 }
 
-// findZones fixes the order of the zones of a roll-out that goes by zone.
-func (a *Actor) findZones(s *service, old side) {
+// recordZones writes the order in which a roll-out by zone replaces the instances.
+func (a *Actor) recordZones(s *service, old instances) {
 	zones := []string{}
 	for i := range old {
-		if x := &old[i]; x.On && x.Zone != "" && !slices.Contains(zones, x.Zone) {
+		if x := &old[i]; x.Wanted && x.Zone != "" && !slices.Contains(zones, x.Zone) {
 			zones = append(zones, x.Zone)
 		}
 	}
 	if len(zones) == 0 {
-		s.waits = "no instance of the old version is known to run"
+		s.waitReason = "no instance of the old version is known to run"
 		return
 	}
 	slices.Sort(zones)
-	c := s.rec.copy()
-	c.Roll.Zones = zones
+	c := s.record.copy()
+	c.Rollout.Zones = zones
 	a.write(s, c, nil, nil)
 }
 
-// await begins a roll-out that waits for another service's.
-func (a *Actor) await(s *service) {
-	after := s.rec.Roll.Plan.After
-	other := a.all[after]
-	s.waits = "waits for the roll-out of " + after
-	if other == nil || other.rec.Roll != nil {
+// awaitOther begins a roll-out once the roll-out of another service, for which it
+// waits, has succeeded.
+func (a *Actor) awaitOther(s *service) {
+	after := s.record.Rollout.Plan.After
+	other := a.services[after]
+	s.waitReason = "waits for the roll-out of " + after
+	if other == nil || other.record.Rollout != nil {
 		return
 	}
-	it, ok := a.store.Peek(HistoryKey(after, other.rec.N))
+	it, ok := a.store.Peek(HistoryKey(after, other.record.Number))
 	if !ok {
 		return
 	}
 	p, err := decodePast(after, it.Value)
 	if err != nil {
-		s.waits = err.Error()
+		s.waitReason = err.Error()
 		return
 	}
 	if p.State != Done {
-		a.finish(s, Returned, fmt.Sprintf("not begun: roll-out %s/%d of another service ended as %s", after, p.N, p.State))
+		a.finish(s, RolledBack, fmt.Sprintf("not begun: roll-out %s/%d of another service ended as %s", after, p.Number, p.State))
 		return
 	}
-	c := s.rec.copy()
-	c.Roll.State, c.Roll.Since = Rolling, a.env.Wall().UnixMilli()
+	c := s.record.copy()
+	c.Rollout.State, c.Rollout.SinceMS = Rolling, a.env.Wall().UnixMilli()
 	a.write(s, c, nil, nil)
 }
 
-// turn stops a roll-out: the old version comes back, if there is one.
-func (a *Actor) turn(s *service, why string) {
-	c := s.rec.copy()
-	c.Roll.State, c.Roll.Why, c.Roll.Since, c.Roll.Paused = Returning, clip(why), a.env.Wall().UnixMilli(), false
-	if c.Cur == nil {
-		c.Roll.State, c.Roll.Why = Stuck, clip(why+"; there is no earlier version to go back to, what runs is kept")
-	}
-	a.env.Log().Info("roll-out stops", "id", c.id(s.name), "state", string(c.Roll.State), "why", why)
+// rollBack begins the return to the old version. Without an old version the roll-out
+// becomes stuck.
+func (a *Actor) rollBack(s *service, why string) {
+	c := s.record.copy()
+	c.Rollout.State, c.Rollout.Why, c.Rollout.SinceMS, c.Rollout.Paused = RollingBack, clip(why), a.env.Wall().UnixMilli(), false
+	if c.Current == nil {
+		c.Rollout.State, c.Rollout.Why = Stuck, clip(why+"; there is no earlier version to go back to, what runs is kept")
+	}
+	a.env.Log().Info("roll-out stopped", "id", c.id(s.name), "state", string(c.Rollout.State), "why", why)
 	a.write(s, c, nil, nil)
 }
 
-// back moves a return to the old version on.
-func (a *Actor) back(s *service, old, young side, newOver bool) {
-	rec := s.rec
-	tolerate := rec.Roll.Plan.Tolerate.Of(rec.New.Tasks)
+// continueRollback advances the return to the old version.
+func (a *Actor) continueRollback(s *service, old, updated instances, newOver bool) {
+	rec := s.record
+	tolerate := rec.Rollout.Plan.Tolerate.Of(rec.New.Tasks)
 	sick := 0
 	for i := range old {
-		if old[i].On && old[i].Here && old[i].Sick {
+		if old[i].Wanted && old[i].Placed && old[i].Sick {
 			sick++
-			if c := a.check.all[instanceID{rec.Cur.Job, i}]; c != nil && c.sick() {
-				s.note(c.proof())
+			if c := a.checker.instances[instanceID{rec.Current.Job, i}]; c != nil && c.sick() {
+				s.addEvidence(c.evidence())
 			}
 		}
 	}
 	if sick > tolerate {
 		c := rec.copy()
-		c.Roll.State, c.Roll.Since = Stuck, a.env.Wall().UnixMilli()
-		c.Roll.Why = clip(fmt.Sprintf("the old version %s fails, too: %s; what runs is kept; first it had been: %s", rec.Cur.Job, s.last(), rec.Roll.Why))
-		a.env.Log().Error("roll-out is stuck", "id", rec.id(s.name), "why", c.Roll.Why)
+		c.Rollout.State, c.Rollout.SinceMS = Stuck, a.env.Wall().UnixMilli()
+		c.Rollout.Why = clip(fmt.Sprintf("the old version %s fails, too: %s; what runs is kept; first it had been: %s", rec.Current.Job, s.latestEvidence(), rec.Rollout.Why))
+		a.env.Log().Error("roll-out is stuck", "id", rec.id(s.name), "why", c.Rollout.Why)
 		a.write(s, c, nil, nil)
 		return
 	}
-	on, off := swap(old, young, len(old), 0, a.bounds(rec), func(int) bool { return true })
-	if newOver { // its instances go by themselves
-		off = nil
-		for i, ok := rec.New.On.NextSet(0); ok; i, ok = rec.New.On.NextSet(i + 1) {
-			off = append(off, int(i))
+	start, stop := swap(old, updated, len(old), 0, a.bounds(rec), func(int) bool { return true })
+	if newOver { // its instances are stopped with the job
+		stop = nil
+		for i, ok := rec.New.Wanted.NextSet(0); ok; i, ok = rec.New.Wanted.NextSet(i + 1) {
+			stop = append(stop, int(i))
 		}
 	}
-	if len(on)+len(off) > 0 {
+	if len(start)+len(stop) > 0 {
 		c := rec.copy()
-		c.Cur.On.add(on)
-		c.New.On.remove(off)
+		c.Current.Wanted.add(start)
+		c.New.Wanted.remove(stop)
 		a.write(s, c, nil, nil)
 		return
 	}
-	s.waits = fmt.Sprintf("%d of %d instances of the old version are healthy again", old.healthy(), len(old))
-	if old.on() == len(old) && old.healthy() >= len(old)-tolerate && young.on() == 0 && young.gone() {
-		a.finish(s, Returned, rec.Roll.Why)
+	s.waitReason = fmt.Sprintf("%d of %d instances of the old version are healthy again", old.healthy(), len(old))
+	if old.wanted() == len(old) && old.healthy() >= len(old)-tolerate && updated.wanted() == 0 && updated.allStopped() {
+		a.finish(s, RolledBack, rec.Rollout.Why)
 	}
 }
--- a/internal/rollout/write.go
+++ b/internal/rollout/write.go
@@ -9,37 +9,37 @@
 	"brooklb/internal/wire"
 )
 
-// write makes a record durable, with other changes: conditional on our leadership,
-// on the record it was made from and on both versions' job records, so that a
-// withdrawal and a step can't both win. What it says is acted on when the replica
-// has it (Event).
+// write commits a record and other changes in one transaction. Its conditions are that
+// this node still leads and that neither the service's record nor the versions' job
+// records have changed, so that a withdrawal and a step can't both succeed. The leader
+// acts on the record when the replica receives it (Event).
 func (a *Actor) write(s *service, c *Record, when []wire.Cond, apply []wire.Change) {
-	if a.store.WriteRoom() < float64(len(apply)+1+leaveWrites) {
-		s.waits = "the state service takes no more changes now"
+	if a.store.WriteRoom() < float64(len(apply)+1+reservedWrites) {
+		s.waitReason = "the state service takes no more changes now"
 		return
 	}
-	if c.Roll != nil {
-		c.Roll.Ends = max(c.Roll.Ends, s.newEnds())
-		c.Roll.Proofs = s.proofs
+	if c.Rollout != nil {
+		c.Rollout.Ends = max(c.Rollout.Ends, s.newVersionEnds())
+		c.Rollout.Evidence = s.evidence
 	}
-	s.dirty = 0
-	c.Change = fmt.Sprintf("%x", a.env.Rand().Uint64())
+	s.unsavedSince = 0
+	c.Nonce = fmt.Sprintf("%x", a.env.Rand().Uint64())
 	t := wire.Txn{When: append([]wire.Cond{{Path: leader.Key, Stamp: a.token}, {Path: Key(s.name), Stamp: s.stamp}}, when...),
 		Apply: append(apply, wire.Change{Write: Key(s.name), Value: c.encode()})}
-	for _, v := range []*version{s.rec.Cur, s.rec.New} {
+	for _, v := range []*version{s.record.Current, s.record.New} {
 		if v == nil {
 			continue
 		}
 		key := ledger.JobKey(v.Job)
-		if it, ok := a.store.Peek(key); ok && !has(t.When, key) {
+		if it, ok := a.store.Peek(key); ok && !hasCondition(t.When, key) {
 			t.When = append(t.When, wire.Cond{Path: key, Stamp: it.Stamp})
 		}
 	}
-	s.flying = true
+	s.writing = true
 	a.commit(s, t, 4)
 }
 
-func has(when []wire.Cond, key string) bool {
+func hasCondition(when []wire.Cond, key string) bool {
 	for _, c := range when {
 		if c.Path == key {
 			return true
@@ -55,8 +55,8 @@
 		}
 		switch {
 		case r == statestore.Unknown && tries > 0:
-			// Written again with the same versions: whichever comes first makes the
-			// other fail.
+			// The write is repeated with the same conditions: the copy that is applied
+			// first makes the other fail.
 			a.commit(s, t, tries-1)
 		case r == statestore.Conflict && len(failed) > 0:
 			for _, k := range failed {
@@ -69,68 +69,69 @@
 			}
 			a.reread(s, failed)
 		case r == statestore.Malformed:
-			// Ours to mend; asked again it would be refused again.
-			a.env.Log().Error("a roll-out's record is refused as malformed", "service", s.name)
-			a.env.After(30*tickEvery, func() { s.flying = false })
+			// This is a fault of the controller; an immediate retry would be refused, too.
+			a.env.Log().Error("state service refused a roll-out's write as malformed", "service", s.name)
+			a.env.After(30*tickInterval, func() { s.writing = false })
 		default:
-			s.flying = false
+			s.writing = false
 		}
 	})
 }
 
-// reread learns what others have written meanwhile.
+// reread fetches keys that others have changed, so that the replica has them.
 func (a *Actor) reread(s *service, keys []string) {
 	if len(keys) == 0 {
-		s.flying = false
+		s.writing = false
 		return
 	}
 	a.store.Get(keys[0], func(_ *statestore.Item, ok bool) {
 		switch {
 		case a.stopped:
 		case !ok:
-			a.env.After(tickEvery, func() {
+			a.env.After(tickInterval, func() {
 				if !a.stopped {
 					a.reread(s, keys)
 				}
 			})
 		default:
-			a.reread(s, keys[1:]) // the replica has it, and told us
+			a.reread(s, keys[1:]) // the replica has the key and has called Event
 		}
 	})
 }
 
-// finish ends a roll-out, with its history, and the version that is needed no more.
+// finish ends a roll-out, writes its history, and ends the job of the version that is
+// no longer needed.
 func (a *Actor) finish(s *service, state State, why string) {
-	rec := s.rec
+	rec := s.record
 	c := rec.copy()
 	now := a.env.Wall().UnixMilli()
-	rec.Roll.Proofs = s.proofs
+	rec.Rollout.Evidence = s.evidence
 	past := rec.history(state, why, now)
-	var goes []*version
+	var ending []*version
 	switch state {
 	case Done:
-		c.Cur, goes = c.New, []*version{rec.Cur}
+		c.Current, ending = c.New, []*version{rec.Current}
 		why = "replaced by " + rec.New.Job + " in roll-out " + rec.id(s.name)
-	case Returned:
-		goes = []*version{rec.New}
+	case RolledBack:
+		ending = []*version{rec.New}
 		why = "roll-out " + rec.id(s.name) + " was rolled back: " + why
 	case Withdrawn:
-		goes, c.Cur, c.Ended = []*version{rec.Cur, rec.New}, nil, true
+		ending, c.Current, c.Ended = []*version{rec.Current, rec.New}, nil, true
 	}
-	c.New, c.Roll = nil, nil
-	when, apply, err := closing(a.store, s.name, rec.N, past, goes, why)
+	c.New, c.Rollout = nil, nil
+	when, apply, err := endingChanges(a.store, s.name, rec.Number, past, ending, why)
 	if err != nil {
-		s.waits = err.Error()
+		s.waitReason = err.Error()
 		return
 	}
-	a.env.Log().Info("roll-out ends", "id", rec.id(s.name), "state", string(state), "why", past.Why)
+	a.env.Log().Info("roll-out is being ended", "id", rec.id(s.name), "state", string(state), "why", past.Why)
 	a.write(s, c, when, apply)
 }
 
-// closing lists the changes that end a roll-out besides the service's record: its
-// history, the oldest one's deletion, and the end of versions.
-func closing(store *statestore.Store, name string, n int, p *past, goes []*version, why string) (when []wire.Cond, apply []wire.Change, err error) {
-	for _, v := range goes {
+// endingChanges returns the changes that end a roll-out besides the service's record:
+// its history, the deletion of the oldest history, and the ends of the versions' jobs.
+func endingChanges(store *statestore.Store, name string, n int, p *pastRollout, ending []*version, why string) (when []wire.Cond, apply []wire.Change, err error) {
+	for _, v := range ending {
 		if v == nil {
 			continue
 		}
@@ -152,8 +153,8 @@
 	}
 	if p != nil {
 		apply = append(apply, wire.Change{Write: HistoryKey(name, n), Value: wire.Encode(p)})
-		if _, ok := store.Peek(HistoryKey(name, n-keepHistory)); ok {
-			apply = append(apply, wire.Change{Delete: HistoryKey(name, n-keepHistory)})
+		if _, ok := store.Peek(HistoryKey(name, n-maxHistory)); ok {
+			apply = append(apply, wire.Change{Delete: HistoryKey(name, n-maxHistory)})
 		}
 	}
 	return when, apply, nil
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -64,8 +64,8 @@
 		o.Declared = append(o.Declared, *d)
 	}
 	slices.SortFunc(o.Declared, func(a, b units.Declared) int { return strings.Compare(a.Name, b.Name) })
-	if len(o.Declared) > units.MaxNamed {
-		return nil, fmt.Errorf("options: %s: %d resources, at most %d", name, len(o.Declared), units.MaxNamed)
+	if len(o.Declared) > units.MaxResources {
+		return nil, fmt.Errorf("options: %s: %d resources, at most %d", name, len(o.Declared), units.MaxResources)
 	}
 	return o, nil
 }
--- a/internal/units/book_test.go
+++ b/internal/units/book_test.go
@@ -8,9 +8,9 @@
 	"brooklb/internal/model"
 )
 
-// TestBook takes and gives units at random, by the book's own word, and holds it to
-// the count, the reserves and the teams' limits after each step.
-func TestBook(t *testing.T) {
+// TestInventory takes and releases units at random, as Free permits, and checks the
+// count, the reserves and the teams' limits after each step.
+func TestInventory(t *testing.T) {
 	type hold struct {
 		team string
 		prio model.Priority
@@ -19,8 +19,8 @@
 	taken := 0
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 8))
-		b := NewBook()
-		rec := &Record{V: format, Count: 1 + rng.IntN(20), Teams: map[string]Part{"red": {Most: 1 + rng.IntN(6)}}}
+		b := NewInventory()
+		rec := &Record{V: recordFormat, Count: 1 + rng.IntN(20), Teams: map[string]TeamLimits{"red": {Most: 1 + rng.IntN(6)}}}
 		rec.Reserve[model.High] = rng.IntN(3)
 		b.Set("seat", rec, 1)
 		r := b.Get("seat")
@@ -34,7 +34,7 @@
 				taken++
 			} else {
 				for k, x := range held {
-					r.Give(k, x.team, x.prio)
+					r.Release(k, x.team, x.prio)
 					delete(held, k)
 					break
 				}
@@ -50,62 +50,63 @@
 				}
 			}
 			if all != r.Used || all > max(0, rec.Count-r.External) || low > max(0, rec.Count-r.External-rec.Reserve[model.High]) || red > rec.Teams["red"].Most {
-				t.Fatalf("seed %d: %d in use (the book has %d) of %d, %d of low priority, %d of red", seed, all, r.Used, rec.Count, low, red)
+				t.Fatalf("seed %d: %d in use (the inventory has %d) of %d, %d of low priority, %d of red", seed, all, r.Used, rec.Count, low, red)
 			}
 		}
 		for k, x := range held {
-			r.Give(k, x.team, x.prio)
+			r.Release(k, x.team, x.prio)
 		}
-		if r.Used != 0 || len(r.Holders) != 0 || len(r.byTeam) != 0 || r.byPrio != [4]int{} {
-			t.Fatalf("seed %d: after all were given back the book has %+v", seed, r)
+		if r.Used != 0 || len(r.Holders) != 0 || len(r.byTeam) != 0 || r.byPriority != [4]int{} {
+			t.Fatalf("seed %d: after all units were released the inventory has %+v", seed, r)
 		}
 	}
 	if taken < 5000 {
-		t.Errorf("only %d taken", taken)
+		t.Errorf("only %d takes, want at least 5000", taken)
 	}
 }
 
-// TestRecord guards what is read and what is never guessed.
+// TestRecord guards against records that decode with lost fields or despite errors, and
+// against giving out units of a resource whose record can't be decoded.
 func TestRecord(t *testing.T) {
-	r := Record{Count: 5, Teams: map[string]Part{"red": {Most: 3, Share: 1}}, External: 1, By: "ana"}
+	r := Record{Count: 5, Teams: map[string]TeamLimits{"red": {Most: 3, Share: 1}}, External: 1, By: "ana"}
 	got, err := Decode("seat", r.Encode())
 	if err != nil || got.Count != 5 || got.Teams["red"].Most != 3 || got.External != 1 {
 		t.Errorf("%+v %v", got, err)
 	}
 	for _, bad := range []string{`"x"`, `{"v":2,"n":5}`, `{"v":1,"n":"5"}`, `{"v":1,"n":-5}`, `{`} {
 		if _, err := Decode("seat", []byte(bad)); err == nil {
-			t.Errorf("%s was read", bad)
+			t.Errorf("%s was decoded, want an error", bad)
 		}
 	}
-	b := NewBook()
+	b := NewInventory()
 	b.Set("seat", got, 7)
 	b.Set("seat", nil, 8)
-	if x := b.Get("seat"); x.Free("free", model.High) > 0 || !strings.Contains(x.Why(1, "free", model.High), "can't be read") {
-		t.Error("units of a resource whose record can't be read are given")
+	if x := b.Get("seat"); x.Free("free", model.High) > 0 || !strings.Contains(x.ShortageReason(1, "free", model.High), "can't be read") {
+		t.Error("units of a resource whose record can't be decoded are given out")
 	}
-	if err := CanEver(&model.Spec{Kind: model.Gang, Tasks: 3, Units: []model.UnitRequest{{Name: "seat", Quantity: 2}}}, func(string) (*Record, error) { return got, nil }); err == nil {
-		t.Error("a gang may ask for 6 of 5")
+	if err := CheckSatisfiable(&model.Spec{Kind: model.Gang, Tasks: 3, Units: []model.UnitRequest{{Name: "seat", Quantity: 2}}}, func(string) (*Record, error) { return got, nil }); err == nil {
+		t.Error("a gang that requests 6 of 5 units was accepted")
 	}
 }
 
-// BenchmarkTake measures a start and an end in the book, with 1,000 resources and
-// 100,000 holders.
+// BenchmarkTake measures taking and releasing a unit, with 1,000 resources and 100,000
+// holders.
 func BenchmarkTake(b *testing.B) {
-	book := NewBook()
+	inventory := NewInventory()
 	names := make([]string, 1000)
 	for i := range names {
 		names[i] = "seat-" + string(rune('a'+i%26)) + "-" + strings.Repeat("x", i/26)
-		book.Set(names[i], &Record{V: format, Count: 1000}, 1)
+		inventory.Set(names[i], &Record{V: recordFormat, Count: 1000}, 1)
 		for k := range 100 {
-			book.Get(names[i]).Take(i*1000+k, "free", model.Normal, 1)
+			inventory.Get(names[i]).Take(i*1000+k, "free", model.Normal, 1)
 		}
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		r := book.All[i%1000]
+		r := inventory.All[i%1000]
 		if r.Free("free", model.Normal) > 0 {
 			r.Take(-i-1, "free", model.Normal, 1)
-			r.Give(-i-1, "free", model.Normal)
+			r.Release(-i-1, "free", model.Normal)
 		}
 	}
 }
--- a/internal/units/door.go
+++ b/internal/units/door.go
@@ -12,28 +12,28 @@
 	"brooklb/internal/wire"
 )
 
-// Door answers what operators ask about resources, on every node.
-type Door struct {
+// Handler answers operators' requests about resources, on every node.
+type Handler struct {
 	env   actor.Env
 	store *statestore.Store
 	teams map[string]bool
-	// Live is what a leader sees of a resource, with its holders or not; nil on other
-	// nodes.
+	// Live returns the leader's view of a resource, with its holders if requested; nil
+	// on other nodes.
 	Live func(name string, holders bool) *wire.UnitsLive
 }
 
-// NewDoor makes the door of a node.
-func NewDoor(env actor.Env, store *statestore.Store, teams []string) *Door {
-	d := &Door{env: env, store: store, teams: map[string]bool{}}
+// NewHandler returns the Handler of a node.
+func NewHandler(env actor.Env, store *statestore.Store, teams []string) *Handler {
+	h := &Handler{env: env, store: store, teams: map[string]bool{}}
 	for _, t := range teams {
-		d.teams[t] = true
+		h.teams[t] = true
 	}
-	return d
+	return h
 }
 
-// Find reads a resource's record from the replica; nil if there is none.
-func (d *Door) Find(name string) (*Record, error) {
-	it, ok := d.store.Peek(Key(name))
+// Find returns a resource's record from the replica, nil if there is none.
+func (h *Handler) Find(name string) (*Record, error) {
+	it, ok := h.store.Peek(Key(name))
 	if !ok {
 		if !ValidName(name) {
 			return nil, BadName(name)
@@ -47,31 +47,31 @@
 	return rec, nil
 }
 
-// Check says why a job could never have its units.
-func (d *Door) Check(s *model.Spec) error { return CanEver(s, d.Find) }
+// Check returns an error if a job could never have its units.
+func (h *Handler) Check(s *model.Spec) error { return CheckSatisfiable(s, h.Find) }
 
-// Serve answers a request; it returns false for paths of others.
-func (d *Door) Serve(r *httpx.Request, reply func(httpx.Response)) bool {
+// Serve answers a request; it returns false for paths that are not of resources.
+func (h *Handler) Serve(r *httpx.Request, reply func(httpx.Response)) bool {
 	if r.Path != wire.PathUnits && !strings.HasPrefix(r.Path, wire.PathUnits+"/") {
 		return false
 	}
-	if !d.store.Synced() {
+	if !h.store.Synced() {
 		reply(answer.Unavailable)
 		return true
 	}
 	name, verb, _ := strings.Cut(strings.TrimPrefix(strings.TrimPrefix(r.Path, wire.PathUnits), "/"), "/")
 	switch {
 	case name == "" && r.Method == "GET":
-		d.list(reply)
+		h.list(reply)
 	case !ValidName(name):
 		reply(answer.Refuse(400, 0, "%v", BadName(name)))
 	case verb == "" && r.Method == "GET":
-		d.read(name, reply, func(rec *Record, _ uint64) {
+		h.read(name, reply, func(rec *Record, _ uint64) {
 			if rec == nil {
 				reply(answer.Refuse(404, 0, "no resource %s is known", name))
 				return
 			}
-			reply(httpx.Response{Status: 200, Body: wire.Encode(d.view(name, rec, true))})
+			reply(httpx.Response{Status: 200, Body: wire.Encode(h.view(name, rec, true))})
 		})
 	case verb == "" && r.Method == "POST":
 		u, err := wire.DecodeUnits(r.Body)
@@ -79,18 +79,18 @@
 			reply(answer.Refuse(400, 0, "%v", err))
 			return true
 		}
-		d.change(name, func(rec *Record) error { return d.set(rec, u) }, 4, reply)
+		h.change(name, func(rec *Record) error { return h.set(rec, u) }, 4, reply)
 	case verb == wire.VerbRemove && r.Method == "POST":
 		asked, err := wire.DecodeRequestInfo(r.Body)
 		if err != nil {
 			reply(answer.Refuse(400, 0, "%v", err))
 			return true
 		}
-		d.change(name, func(rec *Record) error {
+		h.change(name, func(rec *Record) error {
 			if rec.V == 0 {
 				return fmt.Errorf("no resource %s is known", name)
 			}
-			rec.Gone, rec.By = true, asked.By
+			rec.Removed, rec.By = true, asked.By
 			return nil
 		}, 4, reply)
 	default:
@@ -99,8 +99,8 @@
 	return true
 }
 
-func (d *Door) read(name string, reply func(httpx.Response), then func(rec *Record, stamp uint64)) {
-	d.store.Read(Key(name), func(it *statestore.Item, ok bool) {
+func (h *Handler) read(name string, reply func(httpx.Response), then func(rec *Record, stamp uint64)) {
+	h.store.Read(Key(name), func(it *statestore.Item, ok bool) {
 		switch {
 		case !ok:
 			reply(answer.Unavailable)
@@ -119,24 +119,25 @@
 
 var priorities = map[string]model.Priority{"low": model.Low, "normal": model.Normal, "high": model.High, "production": model.Production}
 
-// set changes what the operator names, and leaves the rest.
-func (d *Door) set(rec *Record, u *wire.UnitsUpdate) error {
+// set changes the fields that the operator's request has and leaves the others, except
+// Shed, which it always sets.
+func (h *Handler) set(rec *Record, u *wire.UnitsUpdate) error {
 	if u.Count == nil && rec.V == 0 {
 		return fmt.Errorf("field count is missing: the resource is new")
 	}
 	if u.Count != nil {
-		rec.Count, rec.Gone = *u.Count, false
+		rec.Count, rec.Removed = *u.Count, false
 	}
 	if u.External != nil {
 		rec.External = *u.External
 	}
 	if u.Teams != nil {
-		rec.Teams = map[string]Part{}
+		rec.Teams = map[string]TeamLimits{}
 		for t, p := range u.Teams {
-			if !d.teams[t] {
+			if !h.teams[t] {
 				return fmt.Errorf("field teams: unknown team %q", t)
 			}
-			rec.Teams[t] = Part(p)
+			rec.Teams[t] = TeamLimits(p)
 		}
 	}
 	if u.Reserve != nil {
@@ -153,14 +154,15 @@
 	return rec.Check()
 }
 
-// change writes a record anew, conditional on the one it was made from.
-func (d *Door) change(name string, f func(rec *Record) error, tries int, reply func(httpx.Response)) {
-	d.read(name, reply, func(rec *Record, stamp uint64) {
+// change applies f to the current record and writes the result, unless another write
+// has changed the record.
+func (h *Handler) change(name string, f func(rec *Record) error, tries int, reply func(httpx.Response)) {
+	h.read(name, reply, func(rec *Record, stamp uint64) {
 		if rec == nil {
 			rec = &Record{}
 			n := 0
-			d.store.Each(Prefix, func(string, statestore.Item) { n++ })
-			if n >= MaxNamed {
+			h.store.Each(Prefix, func(string, statestore.Item) { n++ })
+			if n >= MaxResources {
 				reply(answer.Refuse(422, 0, "%d resources are known, which is the most", n))
 				return
 			}
@@ -174,20 +176,21 @@
 			reply(answer.Refuse(status, 0, "%v", err))
 			return
 		}
-		c.AtMS, c.Change = d.env.Wall().UnixMilli(), fmt.Sprintf("%x", d.env.Rand().Uint64())
+		c.AtMS, c.Nonce = h.env.Wall().UnixMilli(), fmt.Sprintf("%x", h.env.Rand().Uint64())
 		t := wire.Txn{When: []wire.Cond{{Path: Key(name), Stamp: stamp}}, Apply: []wire.Change{{Write: Key(name), Value: c.Encode()}}}
-		if len(t.Apply[0].Value) > d.store.Config().ValueBytes {
+		if len(t.Apply[0].Value) > h.store.Config().ValueBytes {
 			reply(answer.Refuse(400, 0, "too much for one resource: leave teams out"))
 			return
 		}
-		d.store.Commit(t, false, func(r statestore.Result, _ uint64, _ []string) {
+		h.store.Commit(t, false, func(r statestore.Result, _ uint64, _ []string) {
 			switch {
 			case r == statestore.OK:
-				d.env.Log().Info("resource set", "name", name, "count", c.Count, "removed", c.Gone, "by", c.By)
-				reply(httpx.Response{Status: 200, Body: wire.Encode(d.view(name, &c, false))})
+				h.env.Log().Info("resource set", "name", name, "count", c.Count, "removed", c.Removed, "by", c.By)
+				reply(httpx.Response{Status: 200, Body: wire.Encode(h.view(name, &c, false))})
 			case (r == statestore.Conflict || r == statestore.Unknown) && tries > 0:
-				// Look again: an earlier copy may be there, or the leader's number.
-				d.change(name, f, tries-1, reply)
+				// Read the record again: an earlier attempt may have been applied, or the
+				// leader may have stored the answer of a probe.
+				h.change(name, f, tries-1, reply)
 			default:
 				reply(answer.Unavailable)
 			}
@@ -195,8 +198,8 @@
 	})
 }
 
-func (d *Door) view(name string, rec *Record, holders bool) wire.UnitsView {
-	v := wire.UnitsView{Name: name, Count: rec.Count, Removed: rec.Gone, External: rec.External, By: rec.By, AtMS: rec.AtMS}
+func (h *Handler) view(name string, rec *Record, holders bool) wire.UnitsView {
+	v := wire.UnitsView{Name: name, Count: rec.Count, Removed: rec.Removed, External: rec.External, By: rec.By, AtMS: rec.AtMS}
 	for t, p := range rec.Teams {
 		if v.Teams == nil {
 			v.Teams = map[string]wire.Part{}
@@ -211,24 +214,24 @@
 			v.Reserve[model.Priority(p).String()] = n
 		}
 	}
-	if d.Live != nil {
-		v.Live = d.Live(name, holders)
+	if h.Live != nil {
+		v.Live = h.Live(name, holders)
 	}
 	return v
 }
 
-// mostListed bounds how many resources one answer lists.
-const mostListed = 150
+// maxListed is how many resources one answer lists at most.
+const maxListed = 150
 
-func (d *Door) list(reply func(httpx.Response)) {
+func (h *Handler) list(reply func(httpx.Response)) {
 	var out struct {
 		Units []wire.UnitsView `json:"units"`
 		More  int              `json:"more,omitempty"`
 	}
 	out.Units = []wire.UnitsView{}
-	d.store.Each(Prefix, func(k string, it statestore.Item) {
+	h.store.Each(Prefix, func(k string, it statestore.Item) {
 		name := strings.TrimPrefix(k, Prefix)
-		if len(out.Units) >= mostListed {
+		if len(out.Units) >= maxListed {
 			out.More++
 			return
 		}
@@ -237,7 +240,7 @@
 			out.Units = append(out.Units, wire.UnitsView{Name: name, Trouble: "its record can't be read"})
 			return
 		}
-		v := d.view(name, rec, false)
+		v := h.view(name, rec, false)
 		v.Teams, v.Reserve = nil, nil
 		out.Units = append(out.Units, v)
 	})
--- a/internal/units/leader.go
+++ b/internal/units/leader.go
@@ -20,57 +20,59 @@
 	Probe *Probe
 }
 
-// Probe asks over HTTP how many units are taken outside: the answer is
-// {"used": 3}. Only the operator's file says whom.
+// Probe asks a server over HTTP how many units are in use outside the cluster: the
+// answer is {"used": 3}. Only the operator's properties file sets the address.
 type Probe struct {
 	Addr, Path string
 	Every      time.Duration
-	// Keep is how long the last number holds when no answer comes; then Cautious
-	// counts as taken, -1: all.
+	// Keep is how long the last answer is used when no new one comes. After that, at
+	// least Cautious units count as in use, -1: all.
 	Keep     time.Duration
 	Cautious int
 }
 
 const (
 	probeTimeout = 2 * time.Second
-	// A number that changes is written no more often than this.
-	writeEvery = 5 * time.Second
+	// minWriteInterval is the least time between writes of a probe's answers.
+	minWriteInterval = 5 * time.Second
 )
 
-// Actor keeps the book of a term up to date: from the records, the operator's file
-// and probes.
+// Actor keeps the inventory of a term up to date from the records, the operator's
+// properties file and probes.
 type Actor struct {
-	env     actor.Env
-	store   *statestore.Store
-	token   uint64
-	book    *Book
-	file    []Declared
-	probes  map[string]*probing
-	flying  bool
-	looked  time.Duration
-	stopped bool
-	// OnDeposed hears that another leads, OnChange that there may be more units.
+	env       actor.Env
+	store     *statestore.Store
+	token     uint64
+	inventory *Inventory
+	declared  []Declared
+	probes    map[string]*probeState
+	writing   bool
+	lastTick  time.Duration
+	stopped   bool
+	// OnDeposed is called when a write shows that another node leads, OnChange when
+	// more units may have become available.
 	OnDeposed, OnChange func()
 }
 
-// probing is what is known of a probe.
-type probing struct {
+// probeState is the state of a probe.
+type probeState struct {
 	Declared
-	asked   time.Duration
-	heard   time.Duration
-	used    int
-	asking  bool
-	written time.Duration
-	silent  bool
+	lastSent   time.Duration
+	lastAnswer time.Duration
+	used       int
+	inFlight   bool
+	lastWrite  time.Duration
+	silent     bool
 }
 
-// NewActor makes the actor of a term.
-func NewActor(env actor.Env, store *statestore.Store, token uint64, book *Book, file []Declared) *Actor {
-	a := &Actor{env: env, store: store, token: token, book: book, file: file, probes: map[string]*probing{}, looked: -time.Hour}
-	for _, d := range file {
+// NewActor returns the Actor of a term.
+func NewActor(env actor.Env, store *statestore.Store, token uint64, inventory *Inventory, declared []Declared) *Actor {
+	a := &Actor{env: env, store: store, token: token, inventory: inventory, declared: declared, probes: map[string]*probeState{}, lastTick: -time.Hour}
+	for _, d := range declared {
 		if d.Probe != nil {
-			// What an earlier leader wrote holds until it has been silent for too long.
-			a.probes[d.Name] = &probing{Declared: d, asked: -time.Hour, heard: env.Now(), used: -1, written: -time.Hour}
+			// The number stored by an earlier leader is used until the probe has been
+			// silent for Keep.
+			a.probes[d.Name] = &probeState{Declared: d, lastSent: -time.Hour, lastAnswer: env.Now(), used: -1, lastWrite: -time.Hour}
 		}
 	}
 	return a
@@ -84,29 +86,30 @@
 // Close ends the term.
 func (a *Actor) Close() { a.stopped = true }
 
-// Paused hears that the process was paused: a probe's silence was ours.
+// Paused reports that the process was paused for gap, which doesn't count as silence
+// of a probe.
 func (a *Actor) Paused(gap time.Duration) {
 	for _, p := range a.probes {
-		p.heard += gap
+		p.lastAnswer += gap
 	}
 }
 
-// Event hears of a record's change.
+// Event handles a change of a resource's record.
 func (a *Actor) Event(key string, it *statestore.Item) {
 	name := strings.TrimPrefix(key, Prefix)
 	if it == nil {
-		a.env.Log().Error("a resource's record has vanished", "resource", name)
+		a.env.Log().Error("resource record was deleted unexpectedly", "resource", name)
 		return
 	}
 	rec, err := Decode(name, it.Value)
 	if err != nil {
-		a.env.Log().Error("resource record can't be read, kept as it is, none of its units is given", "key", key, "err", err)
+		a.env.Log().Error("resource record can't be read; it is left unchanged and no units of the resource are given out", "key", key, "err", err)
 	}
-	a.book.Set(name, rec, it.Stamp)
-	if r := a.book.Get(name); rec != nil && r.Rec == rec {
-		a.env.Log().Info("resource", "name", name, "count", rec.Count, "removed", rec.Gone, "external", rec.External, "used", r.Used, "by", rec.By)
+	a.inventory.Set(name, rec, it.Stamp)
+	if r := a.inventory.Get(name); rec != nil && r.Record == rec {
+		a.env.Log().Info("resource", "name", name, "count", rec.Count, "removed", rec.Removed, "external", rec.External, "used", r.Used, "by", rec.By)
 		if p := a.probes[name]; p != nil {
-			a.apply(p)
+			a.applyProbe(p)
 		}
 	}
 	if a.OnChange != nil {
@@ -114,88 +117,89 @@
 	}
 }
 
-// apply lets the probe's number count.
-func (a *Actor) apply(p *probing) {
-	r := a.book.Get(p.Name)
-	if r == nil || r.Rec == nil {
+// applyProbe updates the external use of a resource from the state of its probe.
+func (a *Actor) applyProbe(p *probeState) {
+	r := a.inventory.Get(p.Name)
+	if r == nil || r.Record == nil {
 		return
 	}
-	silent := a.env.Now()-p.heard > p.Probe.Keep
+	silent := a.env.Now()-p.lastAnswer > p.Probe.Keep
 	switch {
 	case silent && p.Probe.Cautious < 0:
-		r.External = r.Rec.Count
+		r.External = r.Record.Count
 	case silent:
-		r.External = max(p.Probe.Cautious, r.Rec.External)
+		r.External = max(p.Probe.Cautious, r.Record.External)
 	case p.used >= 0:
 		r.External = p.used
 	default:
-		r.External = r.Rec.External
+		r.External = r.Record.External
 	}
 	if silent != p.silent {
 		p.silent = silent
-		a.env.Log().Info("probe of a resource", "name", p.Name, "silent", silent, "external", r.External)
+		a.env.Log().Info("resource probe went silent or answered again", "name", p.Name, "silent", silent, "external", r.External)
 	}
 }
 
-// Tick declares what the file says, and asks the probes.
+// Tick writes the properties file's declarations and runs the probes.
 func (a *Actor) Tick() {
 	now := a.env.Now()
-	if a.stopped || now-a.looked < time.Second {
+	if a.stopped || now-a.lastTick < time.Second {
 		return
 	}
-	a.looked = now
-	for _, d := range a.file {
+	a.lastTick = now
+	for _, d := range a.declared {
 		a.declare(d)
 	}
-	for _, d := range a.file {
+	for _, d := range a.declared {
 		if p := a.probes[d.Name]; p != nil {
-			a.apply(p)
-			a.ask(p)
-			a.note(p)
+			a.applyProbe(p)
+			a.sendProbe(p)
+			a.saveProbe(p)
 		}
 	}
 }
 
-// declare makes the record of a resource that the file names, or takes over a count
-// that was changed there; in between the last one who set it is right.
+// declare creates the record of a declared resource, or applies a count that has
+// changed in the properties file. While the file's count doesn't change, a count that
+// an operator sets stays.
 func (a *Actor) declare(d Declared) {
-	r := a.book.Get(d.Name)
+	r := a.inventory.Get(d.Name)
 	switch {
-	case a.flying || r != nil && r.Broken:
-	case r == nil || r.Rec == nil:
-		a.write(d.Name, &Record{Count: d.Count, File: d.Count, By: "properties file"}, 0)
-	case r.Rec.File != d.Count:
-		c := *r.Rec
-		c.Count, c.File, c.Gone, c.By = d.Count, d.Count, false, "properties file"
+	case a.writing || r != nil && r.Unreadable:
+	case r == nil || r.Record == nil:
+		a.write(d.Name, &Record{Count: d.Count, DeclaredCount: d.Count, By: "properties file"}, 0)
+	case r.Record.DeclaredCount != d.Count:
+		c := *r.Record
+		c.Count, c.DeclaredCount, c.Removed, c.By = d.Count, d.Count, false, "properties file"
 		a.write(d.Name, &c, r.Stamp)
 	}
 }
 
-// note writes a probe's number down for the next leader.
-func (a *Actor) note(p *probing) {
-	r := a.book.Get(p.Name)
-	if a.flying || r == nil || r.Rec == nil || p.used < 0 || p.used == r.Rec.External || p.silent || a.env.Now()-p.written < writeEvery {
+// saveProbe stores the last answer of a probe for the next leader.
+func (a *Actor) saveProbe(p *probeState) {
+	r := a.inventory.Get(p.Name)
+	if a.writing || r == nil || r.Record == nil || p.used < 0 || p.used == r.Record.External || p.silent || a.env.Now()-p.lastWrite < minWriteInterval {
 		return
 	}
-	p.written = a.env.Now()
-	c := *r.Rec
+	p.lastWrite = a.env.Now()
+	c := *r.Record
 	c.External, c.By = p.used, "probe"
 	a.write(p.Name, &c, r.Stamp)
 }
 
-// write is conditional on our leadership and on the record it was made from.
+// write commits a record if this node still leads and the record hasn't changed.
 func (a *Actor) write(name string, rec *Record, stamp uint64) {
 	if a.store.WriteRoom() < 4 {
 		return
 	}
-	rec.AtMS, rec.Change = a.env.Wall().UnixMilli(), fmt.Sprintf("%x", a.env.Rand().Uint64())
+	rec.AtMS, rec.Nonce = a.env.Wall().UnixMilli(), fmt.Sprintf("%x", a.env.Rand().Uint64())
 	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Stamp: a.token}, {Path: Key(name), Stamp: stamp}},
 		Apply: []wire.Change{{Write: Key(name), Value: rec.Encode()}}}
-	a.flying = true
+	a.writing = true
 	a.store.Commit(t, true, func(r statestore.Result, _ uint64, failed []string) {
-		a.flying = false
+		a.writing = false
 		if a.stopped || r != statestore.Conflict {
-			return // what was written comes as an event; the rest is tried again
+			return // a write that succeeded arrives as an event, another is repeated on a later tick
 		}
 		for _, k := range failed {
 			if k == leader.Key {
@@ -204,19 +208,19 @@
 				}
 				return
 			}
-			a.store.Get(k, func(*statestore.Item, bool) {}) // the replica has it then
+			a.store.Get(k, func(*statestore.Item, bool) {}) // this brings the replica up to date
 		}
 	})
 }
 
-func (a *Actor) ask(p *probing) {
+func (a *Actor) sendProbe(p *probeState) {
 	now := a.env.Now()
-	if p.asking || now-p.asked < p.Probe.Every {
+	if p.inFlight || now-p.lastSent < p.Probe.Every {
 		return
 	}
-	p.asking, p.asked = true, now
+	p.inFlight, p.lastSent = true, now
 	a.env.Call(actor.Call{Addr: p.Probe.Addr, Method: "GET", Path: p.Probe.Path, DisableKeepAlive: true, Timeout: probeTimeout, Done: func(ans actor.Answer) {
-		p.asking = false
+		p.inFlight = false
 		var x struct {
 			Used *float64 `json:"used"`
 		}
@@ -224,11 +228,11 @@
 			return
 		}
 		if json.Unmarshal(ans.Body, &x) != nil || x.Used == nil || !(*x.Used >= 0) || *x.Used > MaxCount || *x.Used != float64(int(*x.Used)) {
-			a.env.Log().Error("bad answer of a probe", "name", p.Name, "addr", p.Probe.Addr)
+			a.env.Log().Error("invalid answer from a resource's probe", "name", p.Name, "addr", p.Probe.Addr)
 			return
 		}
-		p.heard, p.used = a.env.Now(), int(*x.Used)
-		a.apply(p)
+		p.lastAnswer, p.used = a.env.Now(), int(*x.Used)
+		a.applyProbe(p)
 		if a.OnChange != nil {
 			a.OnChange()
 		}
--- a/internal/units/record.go
+++ b/internal/units/record.go
@@ -1,7 +1,7 @@
-// Package units counts named resources of which there are only so many: seats of a
-// tool, licences. It has their records, and the book of who may take how many. Who
-// holds units is not written anywhere by itself: a unit is held by a placement, from
-// the write that makes it durable to the proof that it is gone (package ledger).
+// Package units counts named resources that exist in a limited number, such as
+// licences or seats of a tool. It has their records and computes who may take how many
+// units. Holders have no records of their own: a placement holds its units until it is
+// proven gone (package ledger).
 package units
 
 import (
@@ -15,52 +15,54 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Prefix is where the records of resources lie.
+// Prefix is the prefix of the keys of resource records.
 const Prefix = statestore.Prefix + "u/"
 
 const (
-	format = 1
+	recordFormat = 1
 	// MaxCount is the largest count of a resource.
 	MaxCount = 1_000_000
-	// MaxNamed is the largest number of resources.
-	MaxNamed = 1000
-	mostTeam = 50 // teams with a limit or share of a resource
+	// MaxResources is the largest number of resources.
+	MaxResources = 1000
+	maxTeams     = 50 // teams with a limit or share of a resource
 )
 
-// ErrUnreadable says that a record is there and can't be read: nothing is known.
+// ErrUnreadable reports that a record exists but can't be decoded, so nothing is known
+// about the resource.
 var ErrUnreadable = errors.New("its record can't be read")
 
-// Key is the key of a resource's record.
+// Key returns the key of a resource's record.
 func Key(name string) string { return Prefix + name }
 
-// Part is what a team may have of a resource.
-type Part struct {
-	Most  int `json:"most,omitempty"`  // at any time, 0: as many as there are
-	Share int `json:"share,omitempty"` // below it, the team's jobs go first
+// TeamLimits are the limits of a team's use of a resource.
+type TeamLimits struct {
+	Most  int `json:"most,omitempty"`  // largest number of units at any time, 0: no limit
+	Share int `json:"share,omitempty"` // while the team uses fewer units, its jobs go first
 }
 
-// Record is what the state service keeps of a resource.
+// Record is the stored state of a resource.
 type Record struct {
-	V     int             `json:"v"`
-	Count int             `json:"n"`
-	Gone  bool            `json:"gone,omitempty"` // removed
-	Teams map[string]Part `json:"t,omitempty"`
-	// Reserve has, by priority, units that only jobs of that priority or a higher
-	// one may take.
+	V       int                   `json:"v"`
+	Count   int                   `json:"n"`
+	Removed bool                  `json:"gone,omitempty"`
+	Teams   map[string]TeamLimits `json:"t,omitempty"`
+	// Reserve is, for each priority, the number of units that only jobs of that
+	// priority or a higher one may take.
 	Reserve [4]int `json:"r"`
-	// External is how many are taken outside, by the operator's number or the last
-	// answer of a probe.
+	// External is how many units are in use outside the cluster, as set by an operator
+	// or by the last answer of a probe.
 	External int `json:"x,omitempty"`
-	// Shed: what exceeds the count is to be stopped.
+	// Shed: tasks are stopped when more units are in use than there are.
 	Shed bool `json:"shed,omitempty"`
-	// File is the count that the properties file last said, to tell its changes.
-	File   int    `json:"f,omitempty"`
-	By     string `json:"by,omitempty"`
-	AtMS   int64  `json:"at,omitempty"`
-	Change string `json:"c,omitempty"` // names the write
+	// DeclaredCount is the last count from the properties file. It shows when the file
+	// has changed.
+	DeclaredCount int    `json:"f,omitempty"`
+	By            string `json:"by,omitempty"`
+	AtMS          int64  `json:"at,omitempty"`
+	Nonce         string `json:"c,omitempty"` // makes each write unique
 }
 
-// ValidName reports whether a resource can have the name.
+// ValidName reports whether the name is valid for a resource.
 func ValidName(name string) bool {
 	if name == "" || len(name) > 40 {
 		return false
@@ -74,7 +76,7 @@
 	return true
 }
 
-// BadName says what is wrong with a name.
+// BadName returns an error that says what is wrong with a name.
 func BadName(name string) error {
 	if len(name) > 60 {
 		name = name[:60]
@@ -85,15 +87,15 @@
 	return fmt.Errorf("%q is no name of a resource: up to 40 of a-z, 0-9, - and _", name)
 }
 
-// Check says what is wrong with the record, nil if nothing is.
+// Check returns an error if the record is invalid.
 func (r *Record) Check() error {
 	switch {
 	case r.Count < 0 || r.Count > MaxCount:
 		return fmt.Errorf("field count: %d is not from 0 to %d", r.Count, MaxCount)
 	case r.External < 0 || r.External > MaxCount:
 		return fmt.Errorf("field external: %d is not from 0 to %d", r.External, MaxCount)
-	case len(r.Teams) > mostTeam:
-		return fmt.Errorf("field teams: at most %d", mostTeam)
+	case len(r.Teams) > maxTeams:
+		return fmt.Errorf("field teams: at most %d", maxTeams)
 	}
 	for p, n := range r.Reserve {
 		if n < 0 || n > MaxCount {
@@ -110,15 +112,15 @@
 		}
 		share += p.Share
 	}
-	if share > r.Count && !r.Gone {
+	if share > r.Count && !r.Removed {
 		return fmt.Errorf("field teams: shares of %d units of which there are %d", share, r.Count)
 	}
 	return nil
 }
 
-// Encode makes the value of the record.
+// Encode returns the record's stored form and sets its format.
 func (r *Record) Encode() []byte {
-	r.V = format
+	r.V = recordFormat
 	b, err := json.Marshal(r)
 	if err != nil {
 		panic("units: " + err.Error())
@@ -126,19 +128,20 @@
 	return b
 }
 
-// Decode reads a record. One that can't be read is an error, never an absent
-// resource.
+// Decode decodes a record. A record that can't be decoded is an error and never counts
+// as an absent resource.
 func Decode(name string, b []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(b, &r); err != nil {
 		return nil, fmt.Errorf("record of resource %s: %w", name, err)
 	}
-	if r.V != format {
+	if r.V != recordFormat {
 		return nil, fmt.Errorf("record of resource %s: format %d is not known here", name, r.V)
 	}
-	// A count that was lowered below the shares is the operator's to mend.
+	// A count that was lowered below the shares is no error here: the operator has to
+	// correct it.
 	c := r
-	c.Gone = true
+	c.Removed = true
 	if err := c.Check(); err != nil && r.Count < 0 {
 		return nil, fmt.Errorf("record of resource %s: %w", name, err)
 	}
