--- a/cmd/brooklb/dev.go
+++ b/cmd/brooklb/dev.go
@@ -97,15 +97,15 @@
 
 // runDemo submits a job and waits until it is done.
 func runDemo(ctx context.Context, out io.Writer, front string) error {
-	cl := &client.Client{Nodes: []string{front}, Patience: 30 * time.Second}
-	status, b, err := cl.Ask("POST", wire.PathJobs, []byte(demoJob))
+	cl := &client.Client{Nodes: []string{front}, RetryFor: 30 * time.Second}
+	status, b, err := cl.Do("POST", wire.PathJobs, []byte(demoJob))
 	if err != nil || status != 201 {
 		return fmt.Errorf("demo: the job was not accepted: %d %s %w", status, b, errOr(err))
 	}
 	fmt.Fprintln(out, "demo: job j-1 with 8 tasks of 3 s is accepted")
 	last := ""
 	for ctx.Err() == nil {
-		status, b, err := cl.Ask("GET", wire.PathJobs+"/j-1", nil)
+		status, b, err := cl.Do("GET", wire.PathJobs+"/j-1", nil)
 		if err != nil {
 			return fmt.Errorf("demo: %w", err)
 		}
--- a/cmd/brooklb/scale.go
+++ b/cmd/brooklb/scale.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	var named []scale.Named
+	var named []scale.NamedResult
 	for _, run := range runs {
 		name, file, found := strings.Cut(run, "=")
 		if !found {
@@ -81,7 +81,7 @@
 		if err != nil {
 			return err
 		}
-		named = append(named, scale.Named{Name: name, Result: r})
+		named = append(named, scale.NamedResult{Name: name, Result: r})
 	}
 	return scale.UpdatePage(page, slopes, planned, named)
 }
@@ -131,8 +131,8 @@
 		}
 	}
 	s, err := scale.MeasureSlopes(ctx, p, scale.SlopesOptions{Command: command, Only: only, Earlier: earlier,
-		Self: func(ctx context.Context, args ...string) *exec.Cmd { return exec.CommandContext(ctx, self, args...) },
-		Dir:  dir, Parallel: parallel, Progress: c.ErrOrStderr()})
+		SelfCommand: func(ctx context.Context, args ...string) *exec.Cmd { return exec.CommandContext(ctx, self, args...) },
+		Dir:         dir, Parallel: parallel, Progress: c.ErrOrStderr()})
 	if s != nil {
 		if err := s.Save(out); err != nil {
 			return fmt.Errorf("slopes: --out: %w", err)
@@ -170,10 +170,10 @@
 			return fmt.Errorf("scale: --json: %w", err)
 		}
 	}
-	if err := r.Table(c.OutOrStdout()); err != nil {
+	if err := r.WriteTable(c.OutOrStdout()); err != nil {
 		return err
 	}
-	if n := len(r.Rules); n > 0 {
+	if n := len(r.BrokenRules); n > 0 {
 		return fmt.Errorf("scale: %d rules of the protocol were broken", n)
 	}
 	return nil
--- a/cmd/brooklb/state.go
+++ b/cmd/brooklb/state.go
@@ -49,7 +49,7 @@
 func (a *stateAsker) Ask(method, path string, body []byte) (int, []byte, error) {
 	time.Sleep(time.Until(a.last.Add(time.Duration(float64(time.Second) / a.rps))))
 	a.last = time.Now()
-	return (&client.Client{Nodes: []string{a.addr}, Patience: a.patience}).Ask(method, path, body)
+	return (&client.Client{Nodes: []string{a.addr}, RetryFor: a.patience}).Do(method, path, body)
 }
 
 func load(file string) (*snapshot.Snapshot, error) {
--- a/cmd/brooklb/units.go
+++ b/cmd/brooklb/units.go
@@ -45,7 +45,7 @@
 	}
 	for range 4 { // one address may stand for several nodes
 		found := false
-		a.client().Each(path, func(_ string, status int, x []byte, err error) {
+		a.client().GetFromEachNode(path, func(_ string, status int, x []byte, err error) {
 			if !found && err == nil && status == 200 && live(x) {
 				found, b = true, append([]byte(nil), x...)
 			}
--- a/cmd/brooklb/user.go
+++ b/cmd/brooklb/user.go
@@ -42,12 +42,12 @@
 }
 
 func (a *asker) client() *client.Client {
-	return &client.Client{Nodes: strings.Split(a.nodes, ","), Patience: a.patience}
+	return &client.Client{Nodes: strings.Split(a.nodes, ","), RetryFor: a.patience}
 }
 
 // ask sends a request and turns its status into an error where it is one.
 func (a *asker) ask(method, path string, body []byte) ([]byte, error) {
-	status, b, err := a.client().Ask(method, path, body)
+	status, b, err := a.client().Do(method, path, body)
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 		fmt.Fprintln(w, "NODE\tHEALTHY\tLEADS\tTOKEN\tFOR\tSTATE SERVICE SILENT\tCHANGES/S\tSUBMITTED/S\tACCEPTED/S\tREFUSED")
 	}
 	var leading *wire.Overview
-	a.client().Each(wire.PathOverview, func(node string, status int, b []byte, err error) {
+	a.client().GetFromEachNode(wire.PathOverview, func(node string, status int, b []byte, err error) {
 		var o wire.Overview
 		if err == nil && status != 200 {
 			err = fmt.Errorf("status %d", status)
@@ -212,7 +212,7 @@
 		}
 	})
 	if answered == 0 {
-		return fmt.Errorf("%w: %w", client.ErrNoNode, last)
+		return fmt.Errorf("%w: %w", client.ErrUnavailable, last)
 	}
 	if o := leading; o != nil {
 		m := o.Machines
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client asks a running service, for the command line.
+// Package client sends requests to a running service on behalf of the command line.
 package client
 
 import (
@@ -13,25 +13,26 @@
 	"brooklb/internal/httpx"
 )
 
-// Client asks the nodes of a service, one after the other until one answers.
+// Client sends requests to the nodes of a service and tries the next node when one fails.
 type Client struct {
-	// Nodes are the addresses of the nodes, host:port.
+	// Nodes has the nodes' addresses in the form host:port.
 	Nodes []string
-	// Patience is how long it tries again what is refused for now; 0: not at all.
-	Patience time.Duration
+	// RetryFor bounds the sum of the pauses between retries; 0 disables retries.
+	RetryFor time.Duration
 	sleep    func(time.Duration)
 }
 
-// ErrNoNode says that no node gave a final answer.
-var ErrNoNode = errors.New("no node has answered")
+// ErrUnavailable reports that no node gave a final response.
+var ErrUnavailable = errors.New("no node has answered")
 
 const (
-	answerWithin = 5 * time.Second
-	dialWithin   = 2 * time.Second
-	mostPause    = 30 * time.Second
+	responseTimeout = 5 * time.Second
+	dialTimeout     = 2 * time.Second
+	maxRetryPause   = 30 * time.Second
 )
 
-// Final reports whether a status is not worth trying again.
+// Final reports whether a status is final. A temporary refusal (429, 503 or 504) is worth a
+// retry, and 0 means that there was no response.
 func Final(status int) bool {
 	switch status {
 	case 429, 503, 504:
@@ -40,18 +41,18 @@
 	return status > 0
 }
 
-// Ask sends a request until a node gives a final answer or patience ends. Every
-// request of ours may be repeated.
-func (c *Client) Ask(method, path string, body []byte) (status int, answer []byte, err error) {
+// Do sends a request to the nodes in turn until one gives a final response or RetryFor is
+// used up. A retry is safe because every request of the command line may be repeated.
+func (c *Client) Do(method, path string, body []byte) (status int, response []byte, err error) {
 	sleep := c.sleep
 	if sleep == nil {
 		sleep = time.Sleep
 	}
 	var last error
-	for left := c.Patience; ; {
+	for remaining := c.RetryFor; ; {
 		pause := time.Second
 		for _, node := range c.Nodes {
-			st, b, after, err := ask(node, method, path, body)
+			st, b, after, err := send(node, method, path, body)
 			switch {
 			case err != nil:
 				last = fmt.Errorf("%s: %w", node, err)
@@ -59,48 +60,49 @@
 				return st, b, nil
 			default:
 				last = fmt.Errorf("%s: %d %s", node, st, bytes.TrimSpace(b))
-				pause = max(pause, min(after, mostPause))
+				pause = max(pause, min(after, maxRetryPause))
 			}
 		}
-		if left < pause {
-			return 0, nil, fmt.Errorf("%w: %w", ErrNoNode, last)
+		if remaining < pause {
+			return 0, nil, fmt.Errorf("%w: %w", ErrUnavailable, last)
 		}
-		left -= pause
+		remaining -= pause
 		sleep(pause)
 	}
 }
 
-// Each asks every node once and hands over what they answer.
-func (c *Client) Each(path string, f func(node string, status int, answer []byte, err error)) {
+// GetFromEachNode sends a GET request to every node once and calls f with each result.
+func (c *Client) GetFromEachNode(path string, f func(node string, status int, response []byte, err error)) {
 	for _, node := range c.Nodes {
-		st, b, _, err := ask(node, "GET", path, nil)
+		st, b, _, err := send(node, "GET", path, nil)
 		f(node, st, b, err)
 	}
 }
 
-func ask(node, method, path string, body []byte) (status int, answer []byte, after time.Duration, err error) {
-	c, err := net.DialTimeout("tcp", node, dialWithin)
+// send sends a request to one node. It returns the wait that the Retry-After header asks for.
+func send(node, method, path string, body []byte) (status int, response []byte, after time.Duration, err error) {
+	c, err := net.DialTimeout("tcp", node, dialTimeout)
 	if err != nil {
 		return 0, nil, 0, err
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(answerWithin)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 		return 0, nil, 0, err
 	}
 	if _, err := c.Write(httpx.AppendRequest(nil, method, node, path, "", body)); err != nil {
 		return 0, nil, 0, err
 	}
-	var in []byte
+	var received []byte
 	buf := make([]byte, 16<<10)
 	for {
 		n, rerr := c.Read(buf)
-		in = append(in, buf[:n]...)
-		st, b, _, used, err := httpx.ParseResponse(in, rerr != nil)
+		received = append(received, buf[:n]...)
+		st, b, _, used, err := httpx.ParseResponse(received, rerr != nil)
 		if err != nil {
 			return 0, nil, 0, err
 		}
 		if used > 0 {
-			return st, append([]byte(nil), b...), retryAfter(in[:used]), nil
+			return st, append([]byte(nil), b...), retryAfter(received[:used]), nil
 		}
 		if rerr != nil {
 			return 0, nil, 0, rerr
@@ -108,9 +110,9 @@
 	}
 }
 
-// retryAfter finds when a refused request is to be sent again.
-func retryAfter(answer []byte) time.Duration {
-	head, _, _ := bytes.Cut(answer, []byte("\r\n\r\n"))
+// retryAfter returns the delay in the Retry-After header of a response, or 0 without one.
+func retryAfter(response []byte) time.Duration {
+	head, _, _ := bytes.Cut(response, []byte("\r\n\r\n"))
 	for _, line := range strings.Split(string(head), "\r\n") {
 		if k, v, ok := strings.Cut(line, ":"); ok && strings.EqualFold(k, "Retry-After") {
 			if n, err := strconv.Atoi(strings.TrimSpace(v)); err == nil && n >= 0 {
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestAsk: refusals are tried again after what they say, at any node, and final
-// answers are not.
+// TestAsk checks that the client retries temporary refusals after the pause that Retry-After
+// asks for, goes on to the next node after a failure, and doesn't retry final responses.
 func TestAsk(t *testing.T) {
 	n := 0
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -27,14 +27,14 @@
 	}))
 	defer busy.Close()
 	var slept []time.Duration
-	c := &Client{Nodes: []string{"127.0.0.1:1", strings.TrimPrefix(busy.URL, "http://")}, Patience: 20 * time.Second,
+	c := &Client{Nodes: []string{"127.0.0.1:1", strings.TrimPrefix(busy.URL, "http://")}, RetryFor: 20 * time.Second,
 		sleep: func(d time.Duration) { slept = append(slept, d) }}
-	st, b, err := c.Ask("POST", "/v2/runs", []byte("{}"))
+	st, b, err := c.Do("POST", "/v2/runs", []byte("{}"))
 	if st != 422 || string(b) != "POST/v2/runs{}" || err != nil || len(slept) != 2 || slept[0] != 4*time.Second {
 		t.Errorf("%d %s %v after %v", st, b, err, slept)
 	}
 	n = -100
-	if _, _, err := c.Ask("GET", "/", nil); !errors.Is(err, ErrNoNode) || !strings.Contains(err.Error(), "503") {
-		t.Errorf("without an end: %v", err)
+	if _, _, err := c.Do("GET", "/", nil); !errors.Is(err, ErrUnavailable) || !strings.Contains(err.Error(), "503") {
+		t.Errorf("a node that always refuses: %v", err)
 	}
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -67,7 +67,7 @@
 			return c
 		},
 		Work: func(context.Context) error {
-			return work(&client.Client{Nodes: []string{front}, Patience: 20 * time.Second})
+			return work(&client.Client{Nodes: []string{front}, RetryFor: 20 * time.Second})
 		}})
 	if err != nil {
 		logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -107,7 +107,7 @@
 	onCluster = func(c *Cluster) { cluster = c }
 	defer func() { onCluster = nil }()
 	ask := func(cl *client.Client, method, path, body string) (int, view, error) {
-		status, b, err := cl.Ask(method, path, []byte(body))
+		status, b, err := cl.Do(method, path, []byte(body))
 		var v view
 		if err == nil && json.Unmarshal(b, &v) != nil {
 			err = fmt.Errorf("%s %s: %d %s", method, path, status, b)
@@ -119,7 +119,7 @@
 			return fmt.Errorf("submission: %d %w", status, err)
 		}
 		for {
-			_, b, err := cl.Ask("GET", "/v2/runs/j-1", nil)
+			_, b, err := cl.Do("GET", "/v2/runs/j-1", nil)
 			if err != nil {
 				return err
 			}
@@ -160,7 +160,7 @@
 		if len(v.Rollouts) != 1 || v.Rollouts[0].State != "rolled back" || !strings.Contains(v.Rollouts[0].Why, "answered 500") || len(v.Rollouts[0].Evidence) == 0 {
 			return fmt.Errorf("history: %+v", v.Rollouts)
 		}
-		_, b, err := cl.Ask("GET", "/v2/runs/j-1", nil)
+		_, b, err := cl.Do("GET", "/v2/runs/j-1", nil)
 		if err != nil || !strings.Contains(string(b), `"running":4`) {
 			return fmt.Errorf("the old version: %s %w", b, err)
 		}
@@ -200,7 +200,7 @@
 		const task = `{"ref":"j-%d","lane":"w","crew":"free","shape":"sweep","urgency":"standard","shards":6,"cpus":4.0,"gpus":0.0,"memory_gb":1.0,
 			"bundle":"i","size_gb":0.1,"hulls":null,"yard":null,"same_place":false,"apart":false,"loaners":true,"expect_s":4.0,"snapshot_s":0.0,"stow_s":0.0}`
 		for i := range 5 {
-			if status, b, err := cl.Ask("POST", "/v2/runs", fmt.Appendf(nil, task, i+1)); err != nil || status > 201 {
+			if status, b, err := cl.Do("POST", "/v2/runs", fmt.Appendf(nil, task, i+1)); err != nil || status > 201 {
 				return fmt.Errorf("submission: %d %s %w", status, b, err)
 			}
 			time.Sleep(2 * time.Second)
@@ -208,7 +208,7 @@
 		for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(300 * time.Millisecond) {
 			done := 0
 			for i := range 5 {
-				if _, b, err := cl.Ask("GET", fmt.Sprintf("/v2/runs/j-%d", i+1), nil); err == nil && strings.Contains(string(b), `"phase":"done"`) {
+				if _, b, err := cl.Do("GET", fmt.Sprintf("/v2/runs/j-%d", i+1), nil); err == nil && strings.Contains(string(b), `"phase":"done"`) {
 					done++
 				}
 			}
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -1,4 +1,4 @@
-// Package procstat reads what a process of this computer uses from Linux's /proc.
+// Package procstat reads the resource usage of a process from Linux's /proc.
 package procstat
 
 import (
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of processor times in /proc, fixed on Linux.
+// ticksPerSecond is the resolution of the processor times in /proc, which Linux fixes.
 const ticksPerSecond = 100
 
-// Sample is what a process used up to one moment.
+// Sample is the resource usage of a process at one moment.
 type Sample struct {
-	CPU     time.Duration // user and system
+	CPU     time.Duration // user and system time since the process started
 	RSS     int64         // bytes
 	PeakRSS int64
 	Sockets int
@@ -24,7 +24,7 @@
 
 var errFormat = errors.New("unexpected format")
 
-// Read samples a process.
+// Read takes a sample of the process with the given ID.
 func Read(pid int) (Sample, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	var s Sample
@@ -39,16 +39,16 @@
 	if err != nil {
 		return s, fmt.Errorf("procstat: %w", err)
 	}
-	s.RSS, s.PeakRSS = kilobytes(status, "VmRSS:"), kilobytes(status, "VmHWM:")
-	s.Sockets, err = sockets(dir + "/fd")
+	s.RSS, s.PeakRSS = statusBytes(status, "VmRSS:"), statusBytes(status, "VmHWM:")
+	s.Sockets, err = countSockets(dir + "/fd")
 	if err != nil {
 		return s, fmt.Errorf("procstat: %w", err)
 	}
 	return s, nil
 }
 
-// cpuTime reads the fields 14 and 15 of a stat line; the second, the program's name, may
-// hold spaces and ends with the last parenthesis.
+// cpuTime sums fields 14 and 15 of a stat line, the user and system time. Field 2, the
+// program's name, may contain spaces and ends with the last parenthesis.
 func cpuTime(stat []byte) (time.Duration, error) {
 	end := bytes.LastIndexByte(stat, ')')
 	if end < 0 {
@@ -69,8 +69,9 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
 
-// kilobytes reads a line such as "VmRSS:  123 kB"; 0 if it is not there.
-func kilobytes(status []byte, name string) int64 {
+// statusBytes parses a line such as "VmRSS:  123 kB" and returns bytes, or 0 if the line is
+// missing or malformed.
+func statusBytes(status []byte, name string) int64 {
 	for line := range strings.Lines(string(status)) {
 		rest, ok := strings.CutPrefix(line, name)
 		if !ok {
@@ -85,7 +86,8 @@
 	return 0
 }
 
-func sockets(dir string) (int, error) {
+// countSockets counts the open sockets in the file descriptor directory of a process.
+func countSockets(dir string) (int, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return 0, err
--- a/internal/procstat/procstat_test.go
+++ b/internal/procstat/procstat_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// TestOwnProcess reads this process, which computes and opens a socket meanwhile.
+// TestOwnProcess samples this process before and after it computes and opens a socket.
 func TestOwnProcess(t *testing.T) {
 	before, err := Read(os.Getpid())
 	if err != nil {
@@ -28,33 +28,34 @@
 		t.Fatal(err)
 	}
 	if used := after.CPU - before.CPU; used < 20*time.Millisecond || sum == 0 {
-		t.Errorf("%v of processor time after 100 ms of work", used)
+		t.Errorf("%v of processor time for 100 ms of work", used)
 	}
 	if after.Sockets != before.Sockets+1 || after.RSS < 1<<20 || after.PeakRSS < after.RSS/2 {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
 }
 
-// TestBadFiles reads lines that are cut off or hold something else.
+// TestBadFiles checks that truncated and malformed lines are rejected.
 func TestBadFiles(t *testing.T) {
 	for _, bad := range []string{"", "1 (x", "1 (x) S 1 2", "1 (x) S 1 1 1 1 1 1 1 1 1 1 a b"} {
 		if _, err := cpuTime([]byte(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 	got, err := cpuTime([]byte("7 (a ) b) S 1 1 1 1 1 1 1 1 1 1 150 50 0 0"))
 	if err != nil || got != 2*time.Second {
 		t.Errorf("got %v, %v", got, err)
 	}
-	if kilobytes([]byte("VmRSS:\t 12 kB\n"), "VmRSS:") != 12<<10 || kilobytes([]byte("VmRSS: x kB"), "VmRSS:") != 0 {
-		t.Error("wrong number of kilobytes")
+	if statusBytes([]byte("VmRSS:\t 12 kB\n"), "VmRSS:") != 12<<10 || statusBytes([]byte("VmRSS: x kB"), "VmRSS:") != 0 {
+		t.Error("wrong number of bytes")
 	}
 	if _, err := Read(-1); err == nil {
-		t.Error("a process that is not there was read")
+		t.Error("no error for a process that doesn't exist")
 	}
 }
 
-// TestThreadCPU grows with work, not with waiting.
+// TestThreadCPU checks that the processor time of a thread grows while it works, not while it
+// waits.
 func TestThreadCPU(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/procstat/thread_linux.go
+++ b/internal/procstat/thread_linux.go
@@ -6,11 +6,11 @@
 	"unsafe"
 )
 
-// clockThreadCPU is CLOCK_THREAD_CPUTIME_ID.
+// clockThreadCPU is the value of CLOCK_THREAD_CPUTIME_ID.
 const clockThreadCPU = 3
 
-// ThreadCPU is the processor time of the calling thread, which the caller has to itself
-// (runtime.LockOSThread).
+// ThreadCPU returns the processor time of the calling thread. The caller must have locked the
+// thread with runtime.LockOSThread.
 func ThreadCPU() time.Duration {
 	var t syscall.Timespec
 	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, clockThreadCPU, uintptr(unsafe.Pointer(&t)), 0); errno != 0 {
--- a/internal/procstat/thread_other.go
+++ b/internal/procstat/thread_other.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-var started = time.Now()
+var processStart = time.Now()
 
-// ThreadCPU is the time since the start, where a thread's processor time can't be read.
-func ThreadCPU() time.Duration { return time.Since(started) }
+// ThreadCPU returns the time since the process started, because it can't read a thread's
+// processor time on this system.
+func ThreadCPU() time.Duration { return time.Since(processStart) }
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -9,37 +9,39 @@
 	"syscall"
 )
 
-// Sockets of the stand-ins' process: each worker listens, keeps a connection to its
-// controller and accepts one from the leader; the rest are some for each controller.
+// Sockets of the process that runs the stand-ins. Each worker has a listener, a connection to
+// its controller and one that it accepts from the leader. The other sockets are counted per
+// controller.
 const (
 	socketsPerWorker     = 3
 	socketsPerController = 100
 	sparePorts           = 1000
 )
 
-// checkMachine reports whether this computer has the file descriptors and ports that a run
-// needs.
-func checkMachine(p *Profile) error {
+// checkHostLimits returns an error if this computer allows fewer file descriptors or ports
+// than a run needs.
+func checkHostLimits(p *Profile) error {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-		return fmt.Errorf("the limit of file descriptors: %w", err)
+		return fmt.Errorf("reading the limit of file descriptors: %w", err)
 	}
 	need := socketsPerWorker*p.Cluster.Workers + socketsPerController*p.Cluster.Controllers
 	if uint64(need) > files.Max {
-		return fmt.Errorf("%d file descriptors are needed for %d workers, this computer allows a process %d: take a smaller --fraction", need, p.Cluster.Workers, files.Max)
+		return fmt.Errorf("%d file descriptors are needed for %d workers, but this computer allows only %d per process: take a smaller --fraction", need, p.Cluster.Workers, files.Max)
 	}
 	ports, err := ephemeralPorts()
 	if err != nil {
 		return err
 	}
 	if need := p.Cluster.Workers + sparePorts; need > ports {
-		return fmt.Errorf("%d ports are needed for connections to one controller, this computer has %d: take a smaller --fraction", need, ports)
+		return fmt.Errorf("%d ports are needed for connections to one controller, but this computer has only %d: take a smaller --fraction", need, ports)
 	}
 	return nil
 }
 
 var errPorts = errors.New("the range of local ports can't be read")
 
+// ephemeralPorts returns the number of local ports available for outgoing connections.
 func ephemeralPorts() (int, error) {
 	b, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// windowFor is the span over which starts are counted.
-const windowFor = 10 * time.Second
+// windowLength is the length of the windows in which starts are counted.
+const windowLength = 10 * time.Second
 
 // Latency is a distribution of times, in seconds.
 type Latency struct {
@@ -19,63 +19,66 @@
 	Max   float64 `json:"max_s"`
 }
 
-// recorder collects a distribution.
-type recorder struct{ h *hdrhistogram.Histogram }
+// recorder collects times in a histogram, in microseconds.
+type recorder struct{ histogram *hdrhistogram.Histogram }
 
 func newRecorder() recorder {
 	return recorder{hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 }
 
 func (r recorder) record(d time.Duration) {
-	_ = r.h.RecordValue(min(max(1, int64(d/time.Microsecond)), r.h.HighestTrackableValue()))
+	_ = r.histogram.RecordValue(min(max(1, int64(d/time.Microsecond)), r.histogram.HighestTrackableValue()))
 }
 
 func (r recorder) latency() Latency {
 	s := func(micros int64) float64 { return float64(micros) / 1e6 }
-	return Latency{r.h.TotalCount(), s(r.h.ValueAtQuantile(50)), s(r.h.ValueAtQuantile(99)), s(r.h.Max())}
+	return Latency{r.histogram.TotalCount(), s(r.histogram.ValueAtQuantile(50)), s(r.histogram.ValueAtQuantile(99)), s(r.histogram.Max())}
 }
 
-// measures is what the stand-ins saw while measuring.
-type measures struct {
-	p           *Profile
-	w           *sim.World
-	from, until time.Duration
-	windows     []int // starts
-	urgent      recorder
-	urgentRuns  recorder
-	batch       recorder
-	gangs       recorder
-	accepted    recorder
-	config      recorder
-	gangRuns    map[string]int // tasks that run, by gang
-	checking    bool           // whether a change is in force everywhere
-	changes     int
-	unseen      int // changes that were not in force everywhere within the time looked at
+// measurements collects the latencies and starts that the stand-ins observe while the run is
+// measured.
+type measurements struct {
+	profile          *Profile
+	world            *sim.World
+	from, until      time.Duration
+	windows          []int // starts in each window
+	urgent           recorder
+	urgentRuns       recorder
+	batch            recorder
+	gangs            recorder
+	accepted         recorder
+	config           recorder
+	gangTasksRunning map[string]int // running tasks of each gang
+	following        bool           // whether a change is being followed
+	changes          int
+	notInTime        int // changes that some controller did not apply within configFollowTimeout
 }
 
-func newMeasures(p *Profile, w *sim.World) *measures {
-	m := &measures{p: p, w: w, from: seconds(p.Run.SettleS), until: seconds(p.Run.SettleS + p.Run.MeasureS), urgent: newRecorder(), urgentRuns: newRecorder(),
-		batch: newRecorder(), gangs: newRecorder(), accepted: newRecorder(), config: newRecorder(), gangRuns: map[string]int{}}
-	w.OnTask = m.task
+func newMeasurements(p *Profile, w *sim.World) *measurements {
+	m := &measurements{profile: p, world: w, from: seconds(p.Run.SettleS), until: seconds(p.Run.SettleS + p.Run.MeasureS), urgent: newRecorder(), urgentRuns: newRecorder(),
+		batch: newRecorder(), gangs: newRecorder(), accepted: newRecorder(), config: newRecorder(), gangTasksRunning: map[string]int{}}
+	w.OnTask = m.recordTask
 	w.OnAccepted = func(after time.Duration) {
-		if m.on() {
+		if m.active() {
 			m.accepted.record(after)
 		}
 	}
 	return m
 }
 
-func (m *measures) on() bool { return m.w.Now() >= m.from && m.w.Now() < m.until }
+// active reports whether the time of measuring has begun and is not over.
+func (m *measurements) active() bool { return m.world.Now() >= m.from && m.world.Now() < m.until }
 
-func (m *measures) task(e sim.TaskEvent) {
-	if !m.on() {
+// recordTask counts a start, and records how long after its submission a task started or ran.
+func (m *measurements) recordTask(e sim.TaskEvent) {
+	if !m.active() {
 		return
 	}
 	after := e.At - e.Submitted
 	if e.Kind == sim.TaskStarted {
-		m.started(e.At)
+		m.countStart(e.At)
 	}
-	// Only what was submitted while measuring counts for the times.
+	// Jobs submitted before the measuring began don't count for the latencies.
 	if e.Submitted < m.from {
 		return
 	}
@@ -87,71 +90,71 @@
 	case e.Class == classBatch && e.Kind == sim.TaskStarted:
 		m.batch.record(after)
 	case e.Class == classGang && e.Kind == sim.TaskRunning:
-		if m.gangRuns[e.Job]++; m.gangRuns[e.Job] == e.Tasks {
+		if m.gangTasksRunning[e.Job]++; m.gangTasksRunning[e.Job] == e.Tasks {
 			m.gangs.record(after)
 		}
 	}
 }
 
-func (m *measures) started(at time.Duration) {
-	i := int((at - m.from) / windowFor)
+func (m *measurements) countStart(at time.Duration) {
+	i := int((at - m.from) / windowLength)
 	for len(m.windows) <= i {
 		m.windows = append(m.windows, 0)
 	}
 	m.windows[i]++
 }
 
-// startsPerS is the rate of starts in each window; the last may be shorter.
-func (m *measures) startsPerS() []float64 {
+// startsPerS returns the rate of starts in each window. The last window may be shorter.
+func (m *measurements) startsPerS() []float64 {
 	out := make([]float64, len(m.windows))
 	for i, n := range m.windows {
-		span := min(windowFor, m.until-m.from-time.Duration(i)*windowFor)
+		span := min(windowLength, m.until-m.from-time.Duration(i)*windowLength)
 		out[i] = float64(n) / span.Seconds()
 	}
 	return out
 }
 
 const (
-	// Whether a change is in force is asked so often, and for so long.
-	checkEvery = 100 * time.Millisecond
-	checkFor   = 30 * time.Second
+	// A followed change is polled every configPollInterval, for at most configFollowTimeout.
+	configPollInterval  = 100 * time.Millisecond
+	configFollowTimeout = 30 * time.Second
 )
 
-// set hears of a change that was accepted. One at a time is followed until every
-// controller answers with it or a newer one.
-func (m *measures) set(name string, count int, asked time.Duration) {
-	if !m.on() {
+// followChange counts an accepted change of a resource's count. Unless it follows another one,
+// it polls all controllers until each answers with this count or a newer one, which is larger.
+func (m *measurements) followChange(name string, count int, requestedAt time.Duration) {
+	if !m.active() {
 		return
 	}
 	m.changes++
-	if m.checking {
+	if m.following {
 		return
 	}
-	m.checking = true
-	lacking := map[int]bool{}
-	for i := range m.p.Cluster.Controllers {
-		lacking[i] = true
+	m.following = true
+	pending := map[int]bool{}
+	for i := range m.profile.Cluster.Controllers {
+		pending[i] = true
 	}
-	var ask func()
-	ask = func() {
-		if len(lacking) == 0 {
-			m.config.record(m.w.Now() - asked)
-			m.checking = false
+	var poll func()
+	poll = func() {
+		if len(pending) == 0 {
+			m.config.record(m.world.Now() - requestedAt)
+			m.following = false
 			return
 		}
-		if m.w.Now()-asked > checkFor {
-			m.unseen++
-			m.checking = false
+		if m.world.Now()-requestedAt > configFollowTimeout {
+			m.notInTime++
+			m.following = false
 			return
 		}
-		for i := range lacking {
-			m.w.Counts(i, func(counts map[string]int) {
+		for i := range pending {
+			m.world.Counts(i, func(counts map[string]int) {
 				if counts[name] >= count {
-					delete(lacking, i)
+					delete(pending, i)
 				}
 			})
 		}
-		m.w.At(m.w.Now()+checkEvery, ask)
+		m.world.At(m.world.Now()+configPollInterval, poll)
 	}
-	ask()
+	poll()
 }
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// The tables of a capacity page stand between these lines, so that its figures are made
-// from the output of runs and never typed.
+// UpdatePage replaces the text between these lines by a table made from the output of runs, so
+// that no figure is typed by hand.
 const (
 	beginMark = "<!-- generated: %s -->"
 	endMark   = "<!-- end -->"
 )
 
-// Named is the result of a run with a name for people.
-type Named struct {
+// NamedResult is the result of a run with the name that tables show.
+type NamedResult struct {
 	Name   string
 	Result *Result
 }
 
-// Sections of a page.
+// Names of a page's sections in beginMark.
 const (
 	sectionSlopes   = "slopes"
 	sectionEstimate = "estimate"
@@ -31,8 +31,8 @@
 	sectionRuns     = "runs"
 )
 
-// UpdatePage writes the tables anew into a page; its text stays.
-func UpdatePage(file string, slopes *Slopes, planned *Profile, runs []Named) error {
+// UpdatePage replaces the tables of a page and leaves its text unchanged.
+func UpdatePage(file string, slopes *Slopes, planned *Profile, runs []NamedResult) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return fmt.Errorf("page: %w", err)
@@ -52,6 +52,7 @@
 	return os.WriteFile(file, []byte(text), 0o644)
 }
 
+// replaceSection replaces the table between the section's marks.
 func replaceSection(text, name, table string) (string, error) {
 	begin := fmt.Sprintf(beginMark, name)
 	before, rest, found := strings.Cut(text, begin)
@@ -77,12 +78,12 @@
 	t.row(strings.Split(strings.Repeat("---,", len(cells)-1)+"---", ",")...)
 }
 
-// perUnit is by how much of each variable a slope is given.
-func perUnit(v Variable) float64 {
+// slopeUnit is the increase of a variable for which the slopes table shows a slope.
+func slopeUnit(v Variable) float64 {
 	switch v {
 	case VaryWorkers, VaryTasks:
 		return 1000
-	case VaryEnded, VaryChanges:
+	case VaryEndedJobs, VaryChanges:
 		return 100000
 	case VaryStarts, VaryTeams:
 		return 100
@@ -90,8 +91,8 @@
 	return 1
 }
 
-// digits shows a number with about three digits that say something.
-func digits(x float64) string {
+// formatNumber formats a number with about three significant digits.
+func formatNumber(x float64) string {
 	if x == 0 {
 		return "0"
 	}
@@ -102,27 +103,29 @@
 	return strings.TrimRight(strings.TrimRight(fmt.Sprintf("%.*f", min(n, 6), x), "0"), ".")
 }
 
+// slopesTable shows each metric at the base profile, which the page calls "the middle", and its
+// significant slopes.
 func (s *Slopes) slopesTable() string {
 	var t table
 	t.head("figure", "unit", "middle", "scatter", "slopes (largest distance of a point from the line)")
-	for _, f := range figures() {
-		mean, scatter := s.scatter(f.of)
+	for _, m := range metrics() {
+		mean, scatter := s.scatter(m.value)
 		var slopes []string
 		for _, x := range allSeries() {
-			if line, ok := s.significant(x.variable, f.of, scatter); ok {
-				per := perUnit(x.variable)
-				slopes = append(slopes, fmt.Sprintf("%s for %s %s (%s)", digits(line.slope*per), digits(per), x.variable, digits(line.residual)))
+			if line, ok := s.significantFit(x.variable, m.value, scatter); ok {
+				per := slopeUnit(x.variable)
+				slopes = append(slopes, fmt.Sprintf("%s for %s %s (%s)", formatNumber(line.slope*per), formatNumber(per), x.variable, formatNumber(line.residual)))
 			}
 		}
-		t.row(f.name, cmp.Or(f.unit, "count"), digits(mean), "±"+digits(scatter), cmp.Or(strings.Join(slopes, "; "), "none above the scatter"))
+		t.row(m.name, cmp.Or(m.unit, "count"), formatNumber(mean), "±"+formatNumber(scatter), cmp.Or(strings.Join(slopes, "; "), "none above the scatter"))
 	}
 	fmt.Fprintf(&t.b, "\nThe middle: %d workers, %d controllers, %d teams, %d running tasks, %s starts and %s jobs a second, gangs of %d, %s changes of configuration a day; %d runs. ",
-		s.Base.Cluster.Workers, s.Base.Cluster.Controllers, s.Base.Cluster.Teams, s.Base.Load.RunningTasks, digits(s.Base.Load.StartsPerS), digits(s.Base.sizes()[VaryJobs]), s.Base.Load.GangTasks, digits(s.Base.Load.ChangesPerDay), baseRuns)
+		s.Base.Cluster.Workers, s.Base.Cluster.Controllers, s.Base.Cluster.Teams, s.Base.Load.RunningTasks, formatNumber(s.Base.Load.StartsPerS), formatNumber(s.Base.sizes()[VaryJobs]), s.Base.Load.GangTasks, formatNumber(s.Base.Load.ChangesPerDay), baseRuns)
 	var ranges []string
 	for _, x := range allSeries() {
 		var sizes []string
 		for _, size := range x.sizes {
-			sizes = append(sizes, digits(size))
+			sizes = append(sizes, formatNumber(size))
 		}
 		ranges = append(ranges, fmt.Sprintf("%s %s", x.variable, strings.Join(sizes, ", ")))
 	}
@@ -130,7 +133,7 @@
 	return t.b.String()
 }
 
-// budgetOf is what a figure may be at the planned size; false: nothing is set.
+// budgetOf returns the budget of a metric, and false if the profile sets none.
 func budgetOf(name, unit string, p *Profile) (float64, bool) {
 	switch name + " " + unit {
 	case "leader, processor cores", "other controller, processor cores":
@@ -155,134 +158,140 @@
 	return 0, false
 }
 
-// steps of the search for where a budget ends.
+// budgetSteps is the number of steps per planned size in the search for an exceeded budget.
 const budgetSteps = 1000
 
-// figureAt is a figure's estimate at a size, of one worker if it is a sum of all.
-func (s *Slopes) figureAt(f figure, at *Profile) float64 {
-	x := s.estimate(f.of, at)
-	if f.perWorker {
+// metricEstimate estimates a metric at a size, per worker for metrics that sum over all workers.
+func (s *Slopes) metricEstimate(m metric, at *Profile) float64 {
+	x := s.estimate(m.value, at)
+	if m.perWorker {
 		x /= float64(max(1, at.Cluster.Workers))
 	}
 	return x
 }
 
-// togetherAt is a figure along all sizes together, of one worker if it is a sum of all.
-func (s *Slopes) togetherAt(f figure, planned *Profile, fraction float64) (float64, bool) {
-	x, ok := s.together(f.of, planned, fraction)
-	if f.perWorker {
+// jointMetricEstimate is jointEstimate for a metric, per worker for metrics that sum over all
+// workers.
+func (s *Slopes) jointMetricEstimate(m metric, planned *Profile, fraction float64) (float64, bool) {
+	x, ok := s.jointEstimate(m.value, planned, fraction)
+	if m.perWorker {
 		x /= fraction * float64(planned.Cluster.Workers)
 	}
 	return x, ok
 }
 
-// endsAt is the fraction of the planned size, of which the smallest is the smallest that was
-// run, at which a figure passes a budget along all sizes together; infinite: not within
-// twice the planned size.
-func (s *Slopes) endsAt(f figure, planned *Profile, budget float64) float64 {
+// budgetExceededAt returns the smallest fraction of the planned size at which the joint estimate
+// of a metric exceeds a budget. The search begins at the smallest fraction that was run and
+// returns infinity if the budget suffices up to twice the planned size.
+func (s *Slopes) budgetExceededAt(m metric, planned *Profile, budget float64) float64 {
 	for i := int(fractions[0] * budgetSteps); i <= 2*budgetSteps; i++ {
 		fraction := float64(i) / budgetSteps
-		if x, ok := s.togetherAt(f, planned, fraction); ok && x > budget {
+		if x, ok := s.jointMetricEstimate(m, planned, fraction); ok && x > budget {
 			return fraction
 		}
 	}
 	return math.Inf(1)
 }
 
-// stretched is by how much the planned size is beyond what was measured, at the most.
-func (s *Slopes) stretched(of func(*Result) float64, planned *Profile) string {
-	_, scatter := s.scatter(of)
-	sizes, most, by := planned.sizes(), 1.0, ""
+// extrapolation describes the variable by which the planned size exceeds the measured range by
+// the largest factor.
+func (s *Slopes) extrapolation(value func(*Result) float64, planned *Profile) string {
+	_, scatter := s.scatter(value)
+	sizes, factor, variableName := planned.sizes(), 1.0, ""
 	for _, x := range allSeries() {
-		if line, ok := s.significant(x.variable, of, scatter); ok && sizes[x.variable] > most*line.to {
-			most, by = sizes[x.variable]/line.to, string(x.variable)
+		if line, ok := s.significantFit(x.variable, value, scatter); ok && sizes[x.variable] > factor*line.measuredTo {
+			factor, variableName = sizes[x.variable]/line.measuredTo, string(x.variable)
 		}
 	}
-	if by == "" {
+	if variableName == "" {
 		return "no"
 	}
-	return fmt.Sprintf("%s times in %s", digits(most), by)
+	return fmt.Sprintf("%s times in %s", formatNumber(factor), variableName)
 }
 
-func (s *Slopes) estimateTable(planned *Profile, runs []Named) string {
+// estimateTable compares the estimates of each metric at the planned size with a simulated run
+// of that size and with the budget.
+func (s *Slopes) estimateTable(planned *Profile, runs []NamedResult) string {
 	var t table
-	var whole *Result
+	var full *Result
 	for _, r := range runs {
-		if r.Result.Fraction == 1 && whole == nil {
-			whole = r.Result
+		if r.Result.Fraction == 1 && full == nil {
+			full = r.Result
 		}
 	}
 	t.head("figure", "unit", "slopes of single sizes added up", "stretched", "all sizes together", "simulated whole", "budget", "the budget ends at")
-	for _, f := range figures() {
+	for _, m := range metrics() {
 		simulated := "not simulated: needs sockets"
-		if whole != nil && f.of(whole) != 0 {
-			simulated = digits(f.of(whole))
+		if full != nil && m.value(full) != 0 {
+			simulated = formatNumber(m.value(full))
 		}
-		name := f.name
-		if f.perWorker {
+		name := m.name
+		if m.perWorker {
 			name = "one of " + name
 		}
 		budget, ends := "none set", "no budget"
-		if most, ok := budgetOf(f.name, f.unit, planned); ok {
-			budget = digits(most)
-			if at := s.endsAt(f, planned, most); at <= 2 {
-				ends = fmt.Sprintf("%s of the size (%s workers)", digits(at), digits(at*float64(planned.Cluster.Workers)))
+		if limit, ok := budgetOf(m.name, m.unit, planned); ok {
+			budget = formatNumber(limit)
+			if at := s.budgetExceededAt(m, planned, limit); at <= 2 {
+				ends = fmt.Sprintf("%s of the size (%s workers)", formatNumber(at), formatNumber(at*float64(planned.Cluster.Workers)))
 			} else {
 				ends = "beyond twice the size"
 			}
 		}
 		along := "not measured"
-		if x, ok := s.togetherAt(f, planned, 1); ok {
-			along = digits(x)
+		if x, ok := s.jointMetricEstimate(m, planned, 1); ok {
+			along = formatNumber(x)
 		}
-		t.row(name, cmp.Or(f.unit, "count"), digits(s.figureAt(f, planned)), s.stretched(f.of, planned), along, simulated, budget, ends)
+		t.row(name, cmp.Or(m.unit, "count"), formatNumber(s.metricEstimate(m, planned)), s.extrapolation(m.value, planned), along, simulated, budget, ends)
 	}
 	return t.b.String()
 }
 
-// What the plan says of jobs, and a time for which their records are kept.
+// The planned number of jobs, and the periods that timeTable covers.
 const (
-	jobsPerDay   = 180000
-	daysOfTwoYrs = 731
-	perThousand  = 1000
-	keptSeconds  = 300 // for which a worker keeps a directly started attempt
+	jobsPerDay        = 180000
+	daysInTwoYears    = 731
+	perThousand       = 1000
+	attemptRetentionS = 300 // how long a worker keeps a directly started attempt
 )
 
-// timeTable has what doesn't add up with sizes: what grows with time, and urgent starts.
+// timeTable shows what can't be estimated from sizes: the growth over time, and the latency of
+// urgent starts.
 func (s *Slopes) timeTable(p *Profile) string {
 	var t table
 	t.head("figure", "value", "from")
 	for _, role := range []Role{RoleLeader, RoleOther} {
-		xs, ys := s.series(VaryEnded, func(r *Result) float64 { return r.role(role).MemMB })
+		xs, ys := s.pointsOf(VaryEndedJobs, func(r *Result) float64 { return r.role(role).MemMB })
 		perJob := fitLine(xs, ys).slope // MB
-		t.row(fmt.Sprintf("memory of a job that is over, controller (%s)", role), digits(perJob*perThousand)+" KB", "slope of ended jobs")
-		t.row("the same of a day's jobs", digits(perJob*jobsPerDay)+" MB", fmt.Sprintf("%d jobs a day", jobsPerDay))
-		t.row("a controller's memory is full after", digits(p.Controller.MemMB/(perJob*jobsPerDay))+" days", digits(p.Controller.MemMB)+" MB")
-		t.row("memory after two years", digits(perJob*jobsPerDay*daysOfTwoYrs/perThousand)+" GB", "the same")
+		t.row(fmt.Sprintf("memory of a job that is over, controller (%s)", role), formatNumber(perJob*perThousand)+" KB", "slope of ended jobs")
+		t.row("the same of a day's jobs", formatNumber(perJob*jobsPerDay)+" MB", fmt.Sprintf("%d jobs a day", jobsPerDay))
+		t.row("a controller's memory is full after", formatNumber(p.Controller.MemMB/(perJob*jobsPerDay))+" days", formatNumber(p.Controller.MemMB)+" MB")
+		t.row("memory after two years", formatNumber(perJob*jobsPerDay*daysInTwoYears/perThousand)+" GB", "the same")
 	}
-	t.row("pages read at the start of a process after two years", digits(jobsPerDay*daysOfTwoYrs/perThousand), "1,000 records on a page")
+	t.row("pages read at the start of a process after two years", formatNumber(jobsPerDay*daysInTwoYears/perThousand), "1,000 records on a page")
 	perWorker := p.Load.StartsPerS / float64(p.Cluster.Workers)
-	t.row("attempts that a worker keeps and lists in each report", digits(perWorker*keptSeconds), fmt.Sprintf("%s starts a second and worker for %d s", digits(perWorker), keptSeconds))
-	_, p99 := s.series("", func(r *Result) float64 { return r.Urgent.P99 })
-	t.row("p99 of urgent starts in the middle, before", fmt.Sprintf("%s to %s s", digits(slices.Min(p99)), digits(slices.Max(p99))), fmt.Sprintf("%d equal runs, budget %s s", len(p99), digits(p.Budget.UrgentStartS)))
+	t.row("attempts that a worker keeps and lists in each report", formatNumber(perWorker*attemptRetentionS), fmt.Sprintf("%s starts a second and worker for %d s", formatNumber(perWorker), attemptRetentionS))
+	_, p99 := s.pointsOf("", func(r *Result) float64 { return r.Urgent.P99 })
+	t.row("p99 of urgent starts in the middle, before", fmt.Sprintf("%s to %s s", formatNumber(slices.Min(p99)), formatNumber(slices.Max(p99))), fmt.Sprintf("%d equal runs, budget %s s", len(p99), formatNumber(p.Budget.UrgentStartS)))
 	return t.b.String()
 }
 
-// failure is something that takes workers away.
+// failure is an event that stops workers.
 type failure struct {
 	name    string
 	workers float64
 	perDay  float64
 }
 
-// What the plan says of failures; machines of a rack are assumed.
+// Planned rates of failures. The number of machines in a rack is assumed.
 const (
-	failedPerDay, restartedPerDay = 92, 1100
-	rackWorkers                   = 40
-	daysPerWeek, daysOfTwoMonths  = 7, 61
-	regionCutEvery                = 30
+	failedMachinesPerDay, restartedMachinesPerDay = 92, 1100
+	rackWorkers                                   = 40
+	daysPerWeek, daysInTwoMonths                  = 7, 61
+	daysPerRegionCut                              = 30
 )
 
+// failuresTable shows the workers and tasks that each failure stops, and the starts that follow.
 func failuresTable(p *Profile) string {
 	var t table
 	perWorker := float64(p.Load.RunningTasks) / float64(p.Cluster.Workers)
@@ -290,19 +299,20 @@
 	regionWorkers := float64(p.Cluster.Workers) / float64(p.Cluster.Regions)
 	t.head("failure", "how often a day", "workers at once", "tasks at once", "starts a second, spread over the day", "time to start them at the peak rate")
 	for _, f := range []failure{
-		{"a machine fails", 1, failedPerDay},
-		{"a machine is restarted or replaced", 1, restartedPerDay},
+		{"a machine fails", 1, failedMachinesPerDay},
+		{"a machine is restarted or replaced", 1, restartedMachinesPerDay},
 		{"a rack or switch (assumed)", rackWorkers, 1.0 / daysPerWeek},
-		{"a zone", zone, 1.0 / daysOfTwoMonths},
-		{"a region is cut off for an hour (assumed once a month)", regionWorkers, 1.0 / regionCutEvery},
+		{"a zone", zone, 1.0 / daysInTwoMonths},
+		{"a region is cut off for an hour (assumed once a month)", regionWorkers, 1.0 / daysPerRegionCut},
 	} {
 		tasks := f.workers * perWorker
-		t.row(f.name, digits(f.perDay), digits(f.workers), digits(tasks), digits(f.perDay*tasks/daySeconds), digits(tasks/p.Load.StartsPerS)+" s")
+		t.row(f.name, formatNumber(f.perDay), formatNumber(f.workers), formatNumber(tasks), formatNumber(f.perDay*tasks/secondsPerDay), formatNumber(tasks/p.Load.StartsPerS)+" s")
 	}
 	return t.b.String()
 }
 
-func runsTable(runs []Named) string {
+// runsTable shows the results of runs in columns, with the rows of the first run.
+func runsTable(runs []NamedResult) string {
 	var t table
 	head := []string{"figure"}
 	for _, r := range runs {
@@ -317,18 +327,20 @@
 		columns[i] = r.Result.rows()
 	}
 	for _, x := range columns[0] {
-		cells := []string{x.what}
+		cells := []string{x.name}
 		for _, column := range columns {
-			cells = append(cells, valueOf(column, x.what))
+			cells = append(cells, valueOf(column, x.name))
 		}
 		t.row(append(cells, cmp.Or(x.budget, "none set"))...)
 	}
 	return t.b.String()
 }
 
-func valueOf(rows []row, what string) string {
+// valueOf returns the value of a row. Names also match if just one of them has an addition in
+// parentheses.
+func valueOf(rows []row, name string) string {
 	for _, x := range rows {
-		if x.what == what || strings.HasPrefix(x.what, what+" (") || strings.HasPrefix(what, x.what+" (") {
+		if x.name == name || strings.HasPrefix(x.name, name+" (") || strings.HasPrefix(name, x.name+" (") {
 			return x.value
 		}
 	}
--- a/internal/scale/page_test.go
+++ b/internal/scale/page_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The committed page and what it is made from.
+// The committed page and the slopes from which its tables are made.
 const (
 	pageFile   = "../../docs/CAPACITY.md"
 	slopesFile = "../../docs/scale/slopes.json"
@@ -22,20 +22,20 @@
 	{"loopback, 0.1, after, with troubles", "loopback-troubles.json"},
 }
 
-// TestCapacityPage makes the page's tables anew from the committed output of runs: they are
-// the same, and no cell is empty.
+// TestCapacityPage regenerates the page's tables from the committed output of runs. It checks
+// that they don't differ and that no cell is empty.
 func TestCapacityPage(t *testing.T) {
 	slopes, err := LoadSlopes(slopesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var runs []Named
+	var runs []NamedResult
 	for _, r := range pageRuns {
 		result, err := LoadResult(filepath.Join("../../docs/scale", r.file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		runs = append(runs, Named{r.name, result})
+		runs = append(runs, NamedResult{r.name, result})
 	}
 	committed, err := os.ReadFile(pageFile)
 	if err != nil {
@@ -73,7 +73,8 @@
 	}
 }
 
-// TestPageWithoutMarks wants a line that names the mark that is missing.
+// TestPageWithoutMarks checks that the error names the missing mark, and that files of other
+// kinds are rejected.
 func TestPageWithoutMarks(t *testing.T) {
 	slopes, err := LoadSlopes(slopesFile)
 	if err != nil {
@@ -93,10 +94,10 @@
 	}
 	for _, file := range []string{"no-such.json", exampleProfile} {
 		if _, err := LoadSlopes(file); err == nil {
-			t.Errorf("%s was read as slopes", file)
+			t.Errorf("%s was accepted as slopes", file)
 		}
 		if _, err := LoadResult(file); err == nil {
-			t.Errorf("%s was read as a result", file)
+			t.Errorf("%s was accepted as a result", file)
 		}
 	}
 }
--- a/internal/scale/profile.go
+++ b/internal/scale/profile.go
@@ -1,6 +1,7 @@
-// Package scale runs a cluster of a planned size, or a fraction of it, on one computer:
-// the controllers are real, workers, cloud, state service and users are stand-ins. It
-// loads the cluster in open loop and reports what it did and what it cost.
+// Package scale runs a cluster of a planned size, or a fraction of it, on one computer. The
+// controllers are real; stand-ins simulate the workers, the cloud, the state service and the
+// users. The package loads the cluster in open loop and reports its latencies, its throughput
+// and the resources that it used.
 package scale
 
 import (
@@ -25,10 +26,10 @@
 	Load       Load       `toml:"load" json:"load"`
 	Run        Timing     `toml:"run" json:"run"`
 	Budget     Budget     `toml:"budget" json:"budget"`
-	Troubles   []Trouble  `toml:"trouble" json:"trouble,omitempty"`
+	Faults     []Fault    `toml:"trouble" json:"trouble,omitempty"` // files call a fault a trouble
 }
 
-// Cluster is what there is.
+// Cluster has the sizes of a cluster.
 type Cluster struct {
 	Workers     int     `toml:"workers" json:"workers"`
 	WorkerCPUs  float64 `toml:"worker_cpus" json:"worker_cpus"`
@@ -38,7 +39,7 @@
 	Teams       int     `toml:"teams" json:"teams"`
 }
 
-// Workers has the times of the workers' protocol.
+// Workers has the intervals and time-outs of the workers' protocol.
 type Workers struct {
 	ReportS float64 `toml:"report_s" json:"report_s"`
 	LeaseS  float64 `toml:"lease_s" json:"lease_s"`
@@ -46,14 +47,14 @@
 	BootS   float64 `toml:"boot_s" json:"boot_s"`
 }
 
-// Controller is what one controller may use.
+// Controller has the resource limits of one controller.
 type Controller struct {
 	CPUShare float64 `toml:"cpu_share" json:"cpu_share"`
 	MemMB    float64 `toml:"mem_mb" json:"mem_mb"`
 	Sockets  int     `toml:"sockets" json:"sockets"`
 }
 
-// State is what the state service takes from all controllers together.
+// State has the limits of the state service for all controllers together.
 type State struct {
 	RPS      float64 `toml:"rps" json:"rps"`
 	WriteRPS float64 `toml:"write_rps" json:"write_rps"`
@@ -61,18 +62,18 @@
 	TxnOps   int     `toml:"txn_ops" json:"txn_ops"`
 }
 
-// Cloud is what the cloud takes.
+// Cloud has the request limit of the cloud.
 type Cloud struct {
 	RPS float64 `toml:"rps" json:"rps"`
 }
 
-// Network has one-way delays.
+// Network has the one-way delays between places.
 type Network struct {
-	ZoneMS   float64 `toml:"zone_ms" json:"zone_ms"`     // between zones of a region, and to what is regional in the first region
+	ZoneMS   float64 `toml:"zone_ms" json:"zone_ms"`     // between zones of a region, and from a zone of the first region to its regional services
 	RegionMS float64 `toml:"region_ms" json:"region_ms"` // between regions
 }
 
-// Load is what is asked of the cluster, in open loop.
+// Load is the load on the cluster, in open loop.
 type Load struct {
 	RunningTasks   int     `toml:"running_tasks" json:"running_tasks"`
 	StartsPerS     float64 `toml:"starts_per_s" json:"starts_per_s"`
@@ -81,47 +82,48 @@
 	GangsPerMinute float64 `toml:"gangs_per_minute" json:"gangs_per_minute"`
 	GangTasks      int     `toml:"gang_tasks" json:"gang_tasks"`
 	GangRunS       float64 `toml:"gang_run_s" json:"gang_run_s"`
-	CancelShare    float64 `toml:"cancel_share" json:"cancel_share"` // of the jobs
+	CancelShare    float64 `toml:"cancel_share" json:"cancel_share"` // of the batch jobs
 	ChangesPerDay  float64 `toml:"changes_per_day" json:"changes_per_day"`
-	EndedJobs      int     `toml:"ended_jobs" json:"ended_jobs"` // records that are there from the start
+	EndedJobs      int     `toml:"ended_jobs" json:"ended_jobs"` // with records from the start of the run
 }
 
-// Timing is how long a run takes.
+// Timing has the lengths of a run's phases.
 type Timing struct {
 	SettleS  float64 `toml:"settle_s" json:"settle_s"`
 	MeasureS float64 `toml:"measure_s" json:"measure_s"`
 }
 
-// Budget is what is to be kept.
+// Budget has the limits for the results of a run. A loopback run that exceeds RunMemGB or
+// RunProcesses ends with an error.
 type Budget struct {
 	UrgentStartS     float64 `toml:"urgent_start_s" json:"urgent_start_s"`
 	ConfigS          float64 `toml:"config_s" json:"config_s"`
 	WorkerCPUPercent float64 `toml:"worker_cpu_percent" json:"worker_cpu_percent"`
 	WorkerMemMB      float64 `toml:"worker_mem_mb" json:"worker_mem_mb"`
 	WorkerBytesPerS  float64 `toml:"worker_bytes_per_s" json:"worker_bytes_per_s"`
-	RunMemGB         float64 `toml:"run_mem_gb" json:"run_mem_gb"`       // of all processes of a run
-	RunProcesses     int     `toml:"run_processes" json:"run_processes"` // of a run
+	RunMemGB         float64 `toml:"run_mem_gb" json:"run_mem_gb"`       // memory of all processes of a run
+	RunProcesses     int     `toml:"run_processes" json:"run_processes"` // processes of a run
 }
 
-// TroubleKind names a kind of trouble.
-type TroubleKind string
+// FaultKind names a kind of injected fault.
+type FaultKind string
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
-	LeaderKill TroubleKind = "leader_kill" // the leader's process ends, and is back
-	Rack       TroubleKind = "rack"        // workers of one zone die together
-	ZoneCut    TroubleKind = "zone_cut"    // a zone is cut off from everything
-	RegionCut  TroubleKind = "region_cut"  // a region is
+	LeaderKill FaultKind = "leader_kill" // the leader's process ends and restarts
+	Rack       FaultKind = "rack"        // workers of one zone fail together
+	ZoneCut    FaultKind = "zone_cut"    // a zone is disconnected from everything else
+	RegionCut  FaultKind = "region_cut"  // a region is disconnected
 )
 
-// Trouble is played at a time after the cluster has settled.
-type Trouble struct {
-	AtS    float64     `toml:"at_s" json:"at_s"`
-	Kind   TroubleKind `toml:"kind" json:"kind"`
-	ForS   float64     `toml:"for_s" json:"for_s"`
-	Count  int         `toml:"count" json:"count,omitempty"`   // workers of a rack
-	Zone   int         `toml:"zone" json:"zone,omitempty"`     // from 0
-	Region int         `toml:"region" json:"region,omitempty"` // from 0
+// Fault is injected at a time after the cluster has settled.
+type Fault struct {
+	AtS    float64   `toml:"at_s" json:"at_s"`
+	Kind   FaultKind `toml:"kind" json:"kind"`
+	ForS   float64   `toml:"for_s" json:"for_s"`
+	Count  int       `toml:"count" json:"count,omitempty"`   // workers of a rack
+	Zone   int       `toml:"zone" json:"zone,omitempty"`     // from 0
+	Region int       `toml:"region" json:"region,omitempty"` // from 0
 }
 
 // LoadProfile reads and checks a profile. The error names the file, the field and the
@@ -141,15 +143,16 @@
 	return &p, nil
 }
 
-// limit is the range of a field.
-type limit struct {
+// fieldRange is the value of a field and the range that it must be in.
+type fieldRange struct {
 	field         string
 	value, lo, hi float64
 }
 
+// check returns an error that names the first field out of its range.
 func (p *Profile) check() error {
 	c, l := &p.Cluster, &p.Load
-	for _, x := range []limit{
+	for _, x := range []fieldRange{
 		{"cluster.workers", float64(c.Workers), 1, 60000},
 		{"cluster.worker_cpus", c.WorkerCPUs, 4, 1024},
 		{"cluster.controllers", float64(c.Controllers), 1, 64},
@@ -194,74 +197,76 @@
 			return fmt.Errorf("field %s: %v is not from %v to %v", x.field, x.value, x.lo, x.hi)
 		}
 	}
-	for i, t := range p.Troubles {
-		if err := p.checkTrouble(t); err != nil {
+	for i, fault := range p.Faults {
+		if err := p.checkFault(fault); err != nil {
 			return fmt.Errorf("field trouble[%d]: %w", i, err)
 		}
 	}
 	return nil
 }
 
-func (p *Profile) checkTrouble(t Trouble) error {
-	switch t.Kind {
+func (p *Profile) checkFault(fault Fault) error {
+	switch fault.Kind {
 	case LeaderKill, Rack, ZoneCut, RegionCut:
 	default:
-		return fmt.Errorf("kind %q is none of %s, %s, %s, %s", t.Kind, LeaderKill, Rack, ZoneCut, RegionCut)
+		return fmt.Errorf("kind %q is none of %s, %s, %s, %s", fault.Kind, LeaderKill, Rack, ZoneCut, RegionCut)
 	}
 	switch {
-	case !(t.AtS >= 0) || !(t.ForS >= 0):
+	case !(fault.AtS >= 0) || !(fault.ForS >= 0):
 		return errors.New("at_s and for_s must be 0 or more")
-	case t.AtS > p.Run.MeasureS:
-		return fmt.Errorf("at_s %v is after the end of the run", t.AtS)
-	case t.Kind == Rack && t.Count < 1:
+	case fault.AtS > p.Run.MeasureS:
+		return fmt.Errorf("at_s %v is after the end of the run", fault.AtS)
+	case fault.Kind == Rack && fault.Count < 1:
 		return errors.New("count must be 1 or more")
-	case t.Zone < 0 || t.Zone >= p.Cluster.Zones:
-		return fmt.Errorf("there is no zone %d", t.Zone)
-	case t.Region < 0 || t.Region >= p.Cluster.Regions:
-		return fmt.Errorf("there is no region %d", t.Region)
+	case fault.Zone < 0 || fault.Zone >= p.Cluster.Zones:
+		return fmt.Errorf("there is no zone %d", fault.Zone)
+	case fault.Region < 0 || fault.Region >= p.Cluster.Regions:
+		return fmt.Errorf("there is no region %d", fault.Region)
 	}
 	return nil
 }
 
-// Least sizes of a fraction.
+// Minimum sizes of a fraction of a profile.
 const (
-	leastWorkers     = 20
-	leastControllers = 3
-	leastTeams       = 4
+	minWorkers     = 20
+	minControllers = 3
+	minTeams       = 4
 
-	leastUrgentPerS     = 1
-	leastGangsPerMinute = 4
+	minUrgentPerS     = 1
+	minGangsPerMinute = 4
 )
 
-// At is the profile at a fraction of its size: fewer workers, controllers, teams, tasks and
-// requests, against a state service and a cloud that take less. What a single worker, job
-// or gang is stays, and so do regions, zones, all times, and changes of configuration, which
-// go to every controller. Of urgent jobs and gangs there are enough for a distribution.
-func (p *Profile) At(fraction float64) (*Profile, error) {
+// AtFraction returns the profile at a fraction of its size: fewer workers, controllers, teams,
+// tasks and requests, and lower limits of the state service and the cloud. The sizes of a
+// single worker, job or gang stay, except that a gang has at most half as many tasks as there
+// are workers. Regions, zones and all times stay, and so do configuration changes, because each
+// goes to every controller. The rates of urgent jobs and gangs have minimums, so that their
+// latencies form a distribution.
+func (p *Profile) AtFraction(fraction float64) (*Profile, error) {
 	if !(fraction > 0 && fraction <= 1) {
-		return nil, fmt.Errorf("fraction %v is not above 0 and at most 1", fraction)
+		return nil, fmt.Errorf("fraction %v must be above 0 and at most 1", fraction)
 	}
 	q := *p
 	scaled := func(n int) int { return int(math.Round(float64(n) * fraction)) }
 	q.Cluster.Workers = scaled(p.Cluster.Workers)
-	if q.Cluster.Workers < leastWorkers {
-		return nil, fmt.Errorf("fraction %v leaves %d workers, fewer than %d", fraction, q.Cluster.Workers, leastWorkers)
+	if q.Cluster.Workers < minWorkers {
+		return nil, fmt.Errorf("fraction %v leaves %d workers, fewer than %d", fraction, q.Cluster.Workers, minWorkers)
 	}
-	q.Cluster.Controllers = max(min(leastControllers, p.Cluster.Controllers), scaled(p.Cluster.Controllers))
-	q.Cluster.Teams = max(min(leastTeams, p.Cluster.Teams), scaled(p.Cluster.Teams))
+	q.Cluster.Controllers = max(min(minControllers, p.Cluster.Controllers), scaled(p.Cluster.Controllers))
+	q.Cluster.Teams = max(min(minTeams, p.Cluster.Teams), scaled(p.Cluster.Teams))
 	q.State.RPS = max(200, p.State.RPS*fraction)
 	q.State.WriteRPS = max(50, p.State.WriteRPS*fraction)
 	q.Cloud.RPS = max(5, p.Cloud.RPS*fraction)
 	l := &q.Load
 	l.RunningTasks, l.EndedJobs = scaled(l.RunningTasks), scaled(l.EndedJobs)
 	l.StartsPerS *= fraction
-	l.UrgentPerS = max(l.UrgentPerS*fraction, min(l.UrgentPerS, leastUrgentPerS))
-	l.GangsPerMinute = max(l.GangsPerMinute*fraction, min(l.GangsPerMinute, leastGangsPerMinute))
+	l.UrgentPerS = max(l.UrgentPerS*fraction, min(l.UrgentPerS, minUrgentPerS))
+	l.GangsPerMinute = max(l.GangsPerMinute*fraction, min(l.GangsPerMinute, minGangsPerMinute))
 	l.GangTasks = min(l.GangTasks, q.Cluster.Workers/2)
-	q.Troubles = append([]Trouble(nil), p.Troubles...)
-	for i := range q.Troubles {
-		if q.Troubles[i].Kind == Rack {
-			q.Troubles[i].Count = max(1, scaled(q.Troubles[i].Count))
+	q.Faults = append([]Fault(nil), p.Faults...)
+	for i := range q.Faults {
+		if q.Faults[i].Kind == Rack {
+			q.Faults[i].Count = max(1, scaled(q.Faults[i].Count))
 		}
 	}
 	return &q, nil
@@ -269,7 +274,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// regionOf is the region of a zone.
+// regionOf returns the region of a zone. Zones are assigned to the regions in turn.
 func (c *Cluster) regionOf(zone int) int { return zone % c.Regions }
 
 func (c *Cluster) zoneName(zone int) string { return fmt.Sprintf("r%d-z%d", c.regionOf(zone), zone) }
@@ -282,7 +287,7 @@
 	return names
 }
 
-// zonesOf are the zones of a region.
+// zonesOf returns the names of the zones of a region.
 func (c *Cluster) zonesOf(region int) []string {
 	var names []string
 	for i := range c.Zones {
@@ -293,10 +298,11 @@
 	return names
 }
 
-// homeRegion has the state service, the cloud's interface and the users.
+// homeRegion is the region of the state service, the cloud's interface and the users.
 const homeRegion = 0
 
-// delay is the one-way delay between two places.
+// delay returns the one-way delay between two places. A place is the name of a zone, or empty
+// for the regional services of homeRegion.
 func (p *Profile) delay(from, to string) time.Duration {
 	if from == to {
 		return 0
@@ -307,7 +313,7 @@
 	return time.Duration(p.Network.RegionMS * float64(time.Millisecond))
 }
 
-// region is the region's part of a zone's name; what is regional is in the first.
+// region returns the region's part of a zone's name, or homeRegion for an empty place.
 func region(place string) string {
 	if place == "" {
 		return fmt.Sprintf("r%d", homeRegion)
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -25,7 +25,7 @@
 	Simulated Mode = "simulated" // all in one process, in simulated time
 )
 
-// Role is what a controller does.
+// Role is the role of a controller.
 type Role string
 
 // The roles of controllers.
@@ -34,79 +34,80 @@
 	RoleOther  Role = "other"
 )
 
-// Rates are what goes over an interface each second.
+// Rates is the traffic of an interface per second.
 type Rates struct {
 	Messages       float64 `json:"messages_per_s"`
 	ToController   float64 `json:"bytes_per_s_to_controller"`
 	FromController float64 `json:"bytes_per_s_from_controller"`
 }
 
-// RoleResult is what the controllers of a role used, each.
+// RoleResult is the resource usage per controller of a role.
 type RoleResult struct {
 	Role       Role                    `json:"role"`
 	Processes  int                     `json:"processes"`
 	CPU        float64                 `json:"cpu_cores_mean"`
-	CPUMost    float64                 `json:"cpu_cores_most"`
+	CPUMax     float64                 `json:"cpu_cores_most"`
 	MemMB      float64                 `json:"mem_mb_mean"`
-	MemMostMB  float64                 `json:"mem_mb_peak"`
+	MemPeakMB  float64                 `json:"mem_mb_peak"`
 	Sockets    float64                 `json:"sockets_mean"`
 	SocketsMax int                     `json:"sockets_most"`
-	Interfaces map[dev.Interface]Rates `json:"interfaces"` // mean of a process
+	Interfaces map[dev.Interface]Rates `json:"interfaces"` // mean per process
 }
 
-// StateResult is what the state service was asked.
+// StateResult is the load on the state service.
 type StateResult struct {
 	Requests float64 `json:"requests_per_s"`
 	Changes  float64 `json:"changes_per_s"`
-	Refused  float64 `json:"refused_per_s"` // over its limits
+	Refused  float64 `json:"refused_per_s"` // requests over its limits
 	In       float64 `json:"bytes_per_s_in"`
 	Out      float64 `json:"bytes_per_s_out"`
 	Keys     int     `json:"keys"`
 }
 
-// WorkerResult is what the control of one worker takes.
+// WorkerResult is the cost of the control of one worker.
 type WorkerResult struct {
 	BytesPerS float64 `json:"bytes_per_s"`
 	Reports   float64 `json:"reports_per_s"`
 	Orders    float64 `json:"direct_orders_per_s"`
-	// The hollow workers' process runs all stand-ins: an upper bound.
+	// These are upper bounds, because one process runs the simulated workers and all other
+	// stand-ins.
 	CPUPercent float64 `json:"cpu_percent_of_a_core"`
 	MemMB      float64 `json:"mem_mb"`
 }
 
-// ConfigResult is how changes of configuration came into force.
+// ConfigResult is how configuration changes came into force.
 type ConfigResult struct {
-	Changes int     `json:"changes"`
-	InForce Latency `json:"in_force_at_the_last_controller"` // of those that were followed
-	Unseen  int     `json:"not_in_force_in_time"`
-	Missing string  `json:"missing,omitempty"`
+	Changes   int     `json:"changes"`
+	InForce   Latency `json:"in_force_at_the_last_controller"` // of the changes that were followed
+	NotInTime int     `json:"not_in_force_in_time"`
+	Missing   string  `json:"missing,omitempty"`
 }
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
-	Mode         Mode         `json:"mode"`
-	Fraction     float64      `json:"fraction"`
-	Seed         uint64       `json:"seed"`
-	Profile      *Profile     `json:"profile"`
-	Seconds      float64      `json:"measured_s"`
-	AtStart      sim.Census   `json:"at_start_of_measuring"`
-	AtEnd        sim.Census   `json:"at_end"`
-	StartsPerS   []float64    `json:"starts_per_s_by_window"`
-	StartsMean   float64      `json:"starts_per_s"`
-	Urgent       Latency      `json:"urgent_start"`
-	UrgentRuns   Latency      `json:"urgent_runs"`
-	Batch        Latency      `json:"batch_start"`
-	Gangs        Latency      `json:"gang_runs"`
-	Accepted     Latency      `json:"accepted"`
-	Config       ConfigResult `json:"config"`
-	Roles        []RoleResult `json:"roles"`
-	State        StateResult  `json:"state"`
-	Worker       WorkerResult `json:"worker"`
-	KilledLeases int          `json:"tasks_killed_by_leases"`
-	Troubles     []string     `json:"troubles,omitempty"`
-	Rules        []string     `json:"rules_broken"`
-	LeaderStayed bool         `json:"leader_stayed"` // one controller led all the time
-	// What the run itself took.
+	Mode           Mode         `json:"mode"`
+	Fraction       float64      `json:"fraction"`
+	Seed           uint64       `json:"seed"`
+	Profile        *Profile     `json:"profile"`
+	Seconds        float64      `json:"measured_s"`
+	AtStart        sim.Census   `json:"at_start_of_measuring"`
+	AtEnd          sim.Census   `json:"at_end"`
+	StartsPerS     []float64    `json:"starts_per_s_by_window"`
+	StartsMean     float64      `json:"starts_per_s"`
+	Urgent         Latency      `json:"urgent_start"`
+	UrgentRuns     Latency      `json:"urgent_runs"`
+	Batch          Latency      `json:"batch_start"`
+	Gangs          Latency      `json:"gang_runs"`
+	Accepted       Latency      `json:"accepted"`
+	Config         ConfigResult `json:"config"`
+	Roles          []RoleResult `json:"roles"`
+	State          StateResult  `json:"state"`
+	Worker         WorkerResult `json:"worker"`
+	KilledByLeases int          `json:"tasks_killed_by_leases"`
+	Faults         []string     `json:"troubles,omitempty"`
+	BrokenRules    []string     `json:"rules_broken"`
+	LeaderStayed   bool         `json:"leader_stayed"` // one controller led all the time
+	// Resources that the run itself used.
 	StandInsCPU   float64 `json:"stand_ins_cpu_cores"`
 	StandInsLagMS float64 `json:"stand_ins_lag_p99_ms"`
 	RunMemGB      float64 `json:"run_mem_gb_peak"`
@@ -114,13 +115,14 @@
 	WallSeconds   float64 `json:"wall_s"`
 }
 
-// missingConfig says which configuration has no way to come into force while running.
+// missingConfig names the configuration that can't change while controllers run.
 const missingConfig = "team limits and guarantees: missing, they are read when a controller starts"
 
-func newResult(mode Mode, p *Profile, fraction float64, seed uint64, m *measures) *Result {
+// newResult returns the result with what the measurements hold; the caller adds the rest.
+func newResult(mode Mode, p *Profile, fraction float64, seed uint64, m *measurements) *Result {
 	r := &Result{Mode: mode, Fraction: fraction, Seed: seed, Profile: p, Seconds: p.Run.MeasureS, StartsPerS: m.startsPerS(),
 		Urgent: m.urgent.latency(), UrgentRuns: m.urgentRuns.latency(), Batch: m.batch.latency(), Gangs: m.gangs.latency(), Accepted: m.accepted.latency(),
-		Config: ConfigResult{m.changes, m.config.latency(), m.unseen, missingConfig}, Rules: slices.Clone(m.w.Broken), KilledLeases: m.w.KilledByLease}
+		Config: ConfigResult{m.changes, m.config.latency(), m.notInTime, missingConfig}, BrokenRules: slices.Clone(m.world.Broken), KilledByLeases: m.world.KilledByLease}
 	n := 0
 	for _, k := range m.windows {
 		n += k
@@ -140,15 +142,15 @@
 	return os.WriteFile(file, append(b, '\n'), 0o644)
 }
 
-// loadJSON reads what saveJSON has written; ok says whether it is what was expected.
-func loadJSON[T any](file, what string, ok func(*T) bool) (*T, error) {
+// loadJSON reads a file that saveJSON has written. ok reports whether it has the expected content.
+func loadJSON[T any](file, kind string, ok func(*T) bool) (*T, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", what, err)
+		return nil, fmt.Errorf("%s: %w", kind, err)
 	}
 	var v T
 	if err := json.Unmarshal(b, &v); err != nil || !ok(&v) {
-		return nil, fmt.Errorf("%s: %s does not hold one", what, file)
+		return nil, fmt.Errorf("%s: %s is damaged or of another kind", kind, file)
 	}
 	return &v, nil
 }
@@ -158,10 +160,10 @@
 	return loadJSON(file, "result of a run", func(r *Result) bool { return r.Profile != nil })
 }
 
-// row is a line of the table: what, its value and its budget.
-type row struct{ what, value, budget string }
+// row is a line of the table.
+type row struct{ name, value, budget string }
 
-// rows are the table's lines.
+// rows returns the lines of the table.
 func (r *Result) rows() []row {
 	b := &r.Profile.Budget
 	rows := []row{
@@ -173,7 +175,7 @@
 		{"batch, to the start", r.Batch.String(), ""},
 		{fmt.Sprintf("gangs of %d, to running", r.Profile.Load.GangTasks), r.Gangs.String(), ""},
 		{"submissions, to acceptance", r.Accepted.String(), ""},
-		{"configuration, in force at the last controller", fmt.Sprintf("counted resources: %s, not in time: %d; %s", r.Config.InForce, r.Config.Unseen, r.Config.Missing), fmt.Sprintf("%.0f s", b.ConfigS)},
+		{"configuration, in force at the last controller", fmt.Sprintf("counted resources: %s, not in time: %d; %s", r.Config.InForce, r.Config.NotInTime, r.Config.Missing), fmt.Sprintf("%.0f s", b.ConfigS)},
 	}
 	for _, x := range r.Roles {
 		rows = append(rows, r.roleRow(x))
@@ -189,21 +191,22 @@
 			row{"a hollow worker, all stand-ins counted", fmt.Sprintf("%.2f%% of a core, %.2f MB", w.CPUPercent, w.MemMB), fmt.Sprintf("%.1f%%, %.0f MB", b.WorkerCPUPercent, b.WorkerMemMB)})
 	}
 	return append(rows,
-		row{"tasks killed by leases", fmt.Sprint(r.KilledLeases), ""},
-		row{"troubles", cmp.Or(strings.Join(r.Troubles, "; "), "none"), ""},
-		row{"rules broken", fmt.Sprint(len(r.Rules)), "0"},
+		row{"tasks killed by leases", fmt.Sprint(r.KilledByLeases), ""},
+		row{"troubles", cmp.Or(strings.Join(r.Faults, "; "), "none"), ""},
+		row{"rules broken", fmt.Sprint(len(r.BrokenRules)), "0"},
 		row{"the run itself", fmt.Sprintf("%.0f s, %d processes, %.1f GB; stand-ins %.2f cores, %.0f ms late (p99)", r.WallSeconds, r.RunProcesses, r.RunMemGB, r.StandInsCPU, r.StandInsLagMS),
 			fmt.Sprintf("%d processes, %.0f GB", b.RunProcesses, b.RunMemGB)})
 }
 
+// roleRow returns the line of the controllers of a role.
 func (r *Result) roleRow(x RoleResult) row {
 	name := string(x.Role)
 	if !r.LeaderStayed && x.Role == RoleLeader {
 		name += " (at the end; it changed)"
 	}
-	value := fmt.Sprintf("%d: %.3f cores (most %.3f)", x.Processes, x.CPU, x.CPUMost)
+	value := fmt.Sprintf("%d: %.3f cores (most %.3f)", x.Processes, x.CPU, x.CPUMax)
 	if r.Mode == Loopback {
-		value += fmt.Sprintf(", %.0f MB (peak %.0f), %.0f sockets (most %d)", x.MemMB, x.MemMostMB, x.Sockets, x.SocketsMax)
+		value += fmt.Sprintf(", %.0f MB (peak %.0f), %.0f sockets (most %d)", x.MemMB, x.MemPeakMB, x.Sockets, x.SocketsMax)
 	}
 	for _, i := range slices.Sorted(maps.Keys(x.Interfaces)) {
 		f := x.Interfaces[i]
@@ -213,17 +216,17 @@
 	return row{"controller, " + name, value, fmt.Sprintf("%.2f cores, %.0f MB, %d sockets", c.CPUShare, c.MemMB, c.Sockets)}
 }
 
-// Table writes the result for a person.
-func (r *Result) Table(w io.Writer) error {
+// WriteTable writes the result as a text table.
+func (r *Result) WriteTable(w io.Writer) error {
 	fmt.Fprintf(w, "%s run at fraction %g, %.0f s measured after %.0f s\n\n", r.Mode, r.Fraction, r.Seconds, r.Profile.Run.SettleS)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, x := range r.rows() {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", x.what, x.value, x.budget)
+		fmt.Fprintf(t, "%s\t%s\t%s\n", x.name, x.value, x.budget)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, b := range r.Rules[:min(len(r.Rules), 20)] {
+	for _, b := range r.BrokenRules[:min(len(r.BrokenRules), 20)] {
 		fmt.Fprintln(w, "RULE BROKEN:", b)
 	}
 	return nil
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -15,30 +15,31 @@
 	"brooklb/internal/sim"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Fraction float64
 	Seed     uint64
 	Dir      string // settings and logs of the controllers
-	// Controller makes the command of a controller with the settings file.
+	// Controller returns the command that starts a controller with a settings file.
 	Controller func(settingsFile string) *exec.Cmd
 	Progress   io.Writer
 }
 
-// watchEvery is how often what the run itself uses is looked at.
-const watchEvery = time.Second
+// budgetCheckInterval is the interval at which a run checks its own memory and processes.
+const budgetCheckInterval = time.Second
 
-// Run plays a profile at a fraction of its size on loopback sockets.
-func Run(ctx context.Context, whole *Profile, o Options) (*Result, error) {
-	p, err := whole.At(o.Fraction)
+// Run runs a profile at a fraction of its size in real time, with controller processes on
+// loopback sockets.
+func Run(ctx context.Context, planned *Profile, o Options) (*Result, error) {
+	p, err := planned.AtFraction(o.Fraction)
 	if err != nil {
 		return nil, err
 	}
-	if err := checkMachine(p); err != nil {
+	if err := checkHostLimits(p); err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	r := &loopbackRun{p: p, o: o}
+	r := &loopbackRun{profile: p, options: o}
 	world := worldConfig(p, o.Seed)
 	world.NodeZones = p.controllerZones()
 	err = dev.Run(ctx, dev.Config{Controllers: p.Cluster.Controllers, Seed: o.Seed, Front: "127.0.0.1:0", Dir: o.Dir, World: &world,
@@ -51,7 +52,7 @@
 	return r.result, nil
 }
 
-// controllerZones spreads the controllers over the regions and their zones.
+// controllerZones returns each controller's zone. The controllers are spread over all zones.
 func (p *Profile) controllerZones() []string {
 	var zones []string
 	for i := range p.Cluster.Controllers {
@@ -62,72 +63,74 @@
 
 // loopbackRun is a run in real time.
 type loopbackRun struct {
-	p       *Profile
-	o       Options
-	c       *dev.Cluster
-	load    *load
-	m       *measures
-	played  []string
-	result  *Result
-	peakMem int64
-	procs   int
+	profile      *Profile
+	options      Options
+	cluster      *dev.Cluster
+	load         *load
+	measurements *measurements
+	injected     []string
+	result       *Result
+	peakMemory   int64
+	maxProcesses int
 }
 
+// started begins the load and schedules the faults once the controllers run.
 func (r *loopbackRun) started(c *dev.Cluster) {
-	r.c = c
+	r.cluster = c
 	w := c.World()
-	r.m = newMeasures(r.p, w)
-	r.load = newLoad(w, r.p, r.o.Seed)
-	r.load.onSet = r.m.set
+	r.measurements = newMeasurements(r.profile, w)
+	r.load = newLoad(w, r.profile, r.options.Seed)
+	r.load.onChanged = r.measurements.followChange
 	r.load.start()
-	planTroubles(w, r.p, c.Crash, func(what string) { r.played = append(r.played, what) })
+	scheduleFaults(w, r.profile, c.Crash, func(description string) { r.injected = append(r.injected, description) })
 }
 
-// sample is what had been used up to one moment.
+// sample is the usage at one moment, counted since the start of the run.
 type sample struct {
-	at       time.Time
-	leader   string
-	procs    map[string]procstat.Sample // controllers by label
-	standIns procstat.Sample
-	traffic  map[dev.TrafficKey]dev.Totals
-	asked    int
-	changed  int
-	refused  int
-	census   sim.Census
+	at          time.Time
+	leader      string
+	controllers map[string]procstat.Sample // by label
+	standIns    procstat.Sample
+	traffic     map[dev.TrafficKey]dev.Totals
+	requests    int
+	changes     int
+	refused     int
+	census      sim.Census
 }
 
+// work waits for the cluster to settle, then measures.
 func (r *loopbackRun) work(ctx context.Context) error {
-	if err := r.watch(ctx, seconds(r.p.Run.SettleS)); err != nil {
+	if err := r.waitWithinBudget(ctx, seconds(r.profile.Run.SettleS)); err != nil {
 		return err
 	}
 	first, err := r.sample()
 	if err != nil {
 		return err
 	}
-	if err := r.watch(ctx, seconds(r.p.Run.MeasureS)); err != nil {
+	if err := r.waitWithinBudget(ctx, seconds(r.profile.Run.MeasureS)); err != nil {
 		return err
 	}
 	last, err := r.sample()
 	if err != nil {
 		return err
 	}
-	r.c.Do(func(*sim.World) { r.summarize(first, last) })
+	r.cluster.Do(func(*sim.World) { r.summarize(first, last) })
 	return nil
 }
 
-// watch waits, and ends the run when it takes more than it may.
-func (r *loopbackRun) watch(ctx context.Context, d time.Duration) error {
+// waitWithinBudget waits for d, or returns an error when the run exceeds its budget.
+func (r *loopbackRun) waitWithinBudget(ctx context.Context, d time.Duration) error {
 	end := time.After(d)
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(budgetCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("ended before its time: %w", ctx.Err())
+			return fmt.Errorf("interrupted: %w", ctx.Err())
 		case <-end:
 			return nil
 		case <-ticker.C:
-			if err := r.checkUse(); err != nil {
+			if err := r.checkBudget(); err != nil {
 				return err
 			}
 		}
@@ -136,12 +139,13 @@
 
 func (r *loopbackRun) processes() []dev.Process {
 	var out []dev.Process
-	r.c.Do(func(*sim.World) { out = r.c.Processes() })
+	r.cluster.Do(func(*sim.World) { out = r.cluster.Processes() })
 	return out
 }
 
-// checkUse adds up the memory of all processes of the run.
-func (r *loopbackRun) checkUse() error {
+// checkBudget adds up the memory of all processes of the run, and returns an error if they
+// exceed the budget.
+func (r *loopbackRun) checkBudget() error {
 	own, err := procstat.Read(os.Getpid())
 	if err != nil {
 		return err
@@ -153,50 +157,51 @@
 			n++
 		}
 	}
-	r.peakMem, r.procs = max(r.peakMem, mem), max(r.procs, n)
-	b := &r.p.Budget
+	r.peakMemory, r.maxProcesses = max(r.peakMemory, mem), max(r.maxProcesses, n)
+	b := &r.profile.Budget
 	if gb := float64(mem) / 1e9; gb > b.RunMemGB || n > b.RunProcesses {
-		return fmt.Errorf("the run takes %.1f GB in %d processes, of %.1f GB and %d: take a smaller --fraction", gb, n, b.RunMemGB, b.RunProcesses)
+		return fmt.Errorf("the run uses %.1f GB in %d processes, more than its budget of %.1f GB and %d processes: take a smaller --fraction", gb, n, b.RunMemGB, b.RunProcesses)
 	}
 	return nil
 }
 
 func (r *loopbackRun) sample() (*sample, error) {
-	s := &sample{at: time.Now(), procs: map[string]procstat.Sample{}, traffic: r.c.Traffic().Totals()}
+	s := &sample{at: time.Now(), controllers: map[string]procstat.Sample{}, traffic: r.cluster.Traffic().Totals()}
 	for _, x := range r.processes() {
 		if x.PID == 0 {
 			continue
 		}
-		if p, err := procstat.Read(x.PID); err == nil { // else it has just ended
-			s.procs[x.Label] = p
+		if p, err := procstat.Read(x.PID); err == nil { // otherwise the process has just ended
+			s.controllers[x.Label] = p
 		}
 	}
 	var err error
 	if s.standIns, err = procstat.Read(os.Getpid()); err != nil {
 		return nil, err
 	}
-	r.c.Do(func(w *sim.World) {
+	r.cluster.Do(func(w *sim.World) {
 		s.leader, s.census = w.State.LeaderName(), w.Census()
 		for _, n := range w.State.Asked {
-			s.asked += n
+			s.requests += n
 		}
-		s.changed, s.refused = w.State.Changed, w.State.Limited
+		s.changes, s.refused = w.State.Changed, w.State.Limited
 	})
 	return s, nil
 }
 
+// summarize sets the result from the samples at the start and the end of measuring.
 func (r *loopbackRun) summarize(first, last *sample) {
-	x := newResult(Loopback, r.p, r.o.Fraction, r.o.Seed, r.m)
+	x := newResult(Loopback, r.profile, r.options.Fraction, r.options.Seed, r.measurements)
 	span := last.at.Sub(first.at).Seconds()
 	x.AtStart, x.AtEnd = first.census, last.census
-	x.LeaderStayed = first.leader == last.leader && first.leader != "" && len(r.played) == 0
+	x.LeaderStayed = first.leader == last.leader && first.leader != "" && len(r.injected) == 0
 	x.Roles = []RoleResult{roleResult(RoleLeader, first, last, span), roleResult(RoleOther, first, last, span)}
 	sums := map[dev.Interface]dev.Totals{}
 	for k, t := range last.traffic {
 		sums[k.Interface] = sums[k.Interface].Add(t.Sub(first.traffic[k]))
 	}
 	state := sums[dev.State]
-	x.State = StateResult{Requests: round(float64(last.asked-first.asked)/span, 1), Changes: round(float64(last.changed-first.changed)/span, 1),
+	x.State = StateResult{Requests: round(float64(last.requests-first.requests)/span, 1), Changes: round(float64(last.changes-first.changes)/span, 1),
 		Refused: round(float64(last.refused-first.refused)/span, 2), In: round(float64(state.FromController)/span, 0), Out: round(float64(state.ToController)/span, 0), Keys: last.census.Keys}
 	workers := float64(max(1, last.census.Workers))
 	bytes := sums[dev.Reports].Add(sums[dev.Orders])
@@ -204,33 +209,33 @@
 	x.Worker = WorkerResult{BytesPerS: round(float64(bytes.ToController+bytes.FromController)/span/workers, 0),
 		Reports: round(float64(sums[dev.Reports].Messages)/span/workers, 3), Orders: round(float64(sums[dev.Orders].Messages)/span/workers, 3),
 		CPUPercent: round(100*x.StandInsCPU/workers, 3), MemMB: round(float64(last.standIns.RSS)/1e6/workers, 3)}
-	x.StandInsLagMS = round(float64(r.c.Lag().ValueAtQuantile(99))/1000, 1)
-	x.Troubles = r.played
-	x.RunMemGB, x.RunProcesses = round(float64(r.peakMem)/1e9, 2), r.procs
+	x.StandInsLagMS = round(float64(r.cluster.Lag().ValueAtQuantile(99))/1000, 1)
+	x.Faults = r.injected
+	x.RunMemGB, x.RunProcesses = round(float64(r.peakMemory)/1e9, 2), r.maxProcesses
 	r.result = x
 }
 
-// roleResult sums up the controllers of a role, by who leads at the end.
+// roleResult summarizes the controllers of a role. The leader is the one at the end of the run.
 func roleResult(role Role, first, last *sample, span float64) RoleResult {
 	x := RoleResult{Role: role, Interfaces: map[dev.Interface]Rates{}}
-	for label, s := range last.procs {
+	for label, s := range last.controllers {
 		if (label == last.leader) != (role == RoleLeader) {
 			continue
 		}
 		x.Processes++
 		cpu := s.CPU
-		if f, ok := first.procs[label]; ok && f.CPU <= s.CPU { // else it was started anew
+		if f, ok := first.controllers[label]; ok && f.CPU <= s.CPU { // otherwise the process was restarted
 			cpu -= f.CPU
 		}
 		cores, mem := cpu.Seconds()/span, float64(s.RSS)/1e6
-		x.CPU, x.CPUMost = x.CPU+cores, max(x.CPUMost, cores)
-		x.MemMB, x.MemMostMB = x.MemMB+mem, max(x.MemMostMB, float64(s.PeakRSS)/1e6)
+		x.CPU, x.CPUMax = x.CPU+cores, max(x.CPUMax, cores)
+		x.MemMB, x.MemPeakMB = x.MemMB+mem, max(x.MemPeakMB, float64(s.PeakRSS)/1e6)
 		x.Sockets, x.SocketsMax = x.Sockets+float64(s.Sockets), max(x.SocketsMax, s.Sockets)
 	}
 	n := float64(max(1, x.Processes))
-	x.CPU, x.CPUMost, x.MemMB, x.MemMostMB, x.Sockets = round(x.CPU/n, 4), round(x.CPUMost, 4), round(x.MemMB/n, 1), round(x.MemMostMB, 1), round(x.Sockets/n, 0)
+	x.CPU, x.CPUMax, x.MemMB, x.MemPeakMB, x.Sockets = round(x.CPU/n, 4), round(x.CPUMax, 4), round(x.MemMB/n, 1), round(x.MemPeakMB, 1), round(x.Sockets/n, 0)
 	for k, t := range last.traffic {
-		leaders := k.Controller == last.leader || k.Interface == dev.Orders // only a leader gives orders
+		leaders := k.Controller == last.leader || k.Interface == dev.Orders // only the leader sends orders
 		if leaders != (role == RoleLeader) || k.Controller == "" && k.Interface != dev.Orders {
 			continue
 		}
@@ -241,36 +246,38 @@
 	return x
 }
 
-// planTroubles puts the profile's troubles on the world's clock.
-func planTroubles(w *sim.World, p *Profile, crash func(label string, d time.Duration), played func(what string)) {
-	for _, t := range p.Troubles {
-		w.At(seconds(p.Run.SettleS+t.AtS), func() { played(play(w, p, t, crash)) })
+// scheduleFaults schedules the profile's faults, and calls injected with a description of each
+// when it is injected.
+func scheduleFaults(w *sim.World, p *Profile, crash func(label string, d time.Duration), injected func(description string)) {
+	for _, fault := range p.Faults {
+		w.At(seconds(p.Run.SettleS+fault.AtS), func() { injected(injectFault(w, p, fault, crash)) })
 	}
 }
 
-func play(w *sim.World, p *Profile, t Trouble, crash func(label string, d time.Duration)) string {
-	d := seconds(t.ForS)
-	switch t.Kind {
+// injectFault injects a fault and returns its description.
+func injectFault(w *sim.World, p *Profile, fault Fault, crash func(label string, d time.Duration)) string {
+	d := seconds(fault.ForS)
+	switch fault.Kind {
 	case LeaderKill:
 		leader := w.State.LeaderName()
 		crash(leader, d)
-		return fmt.Sprintf("%.0f s: leader %s killed, back after %.0f s", t.AtS, leader, t.ForS)
+		return fmt.Sprintf("%.0f s: leader %s killed, back after %.0f s", fault.AtS, leader, fault.ForS)
 	case Rack:
-		zone, n := p.Cluster.zoneName(t.Zone), 0
+		zone, n := p.Cluster.zoneName(fault.Zone), 0
 		for _, m := range w.Machines() {
-			if m.Zone == zone && n < t.Count {
+			if m.Zone == zone && n < fault.Count {
 				m.Die()
 				n++
 			}
 		}
-		return fmt.Sprintf("%.0f s: %d workers of %s die", t.AtS, n, zone)
+		return fmt.Sprintf("%.0f s: %d workers of %s die", fault.AtS, n, zone)
 	case ZoneCut:
-		zone := p.Cluster.zoneName(t.Zone)
+		zone := p.Cluster.zoneName(fault.Zone)
 		w.Partition([]string{zone}, d, false)
-		return fmt.Sprintf("%.0f s: zone %s cut off for %.0f s", t.AtS, zone, t.ForS)
+		return fmt.Sprintf("%.0f s: zone %s cut off for %.0f s", fault.AtS, zone, fault.ForS)
 	default:
-		zones := p.Cluster.zonesOf(t.Region)
+		zones := p.Cluster.zonesOf(fault.Region)
 		w.Partition(zones, d, false)
-		return fmt.Sprintf("%.0f s: region %d (%s) cut off for %.0f s", t.AtS, t.Region, strings.Join(zones, ", "), t.ForS)
+		return fmt.Sprintf("%.0f s: region %d (%s) cut off for %.0f s", fault.AtS, fault.Region, strings.Join(zones, ", "), fault.ForS)
 	}
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -17,7 +17,7 @@
 
 const controllerEnv = "BROOKLB_TEST_CONTROLLER"
 
-// TestMain lets the test's own program be the controllers' processes.
+// TestMain runs a controller instead of the tests when the environment has its settings file.
 func TestMain(m *testing.M) {
 	file := os.Getenv(controllerEnv)
 	if file == "" {
@@ -51,10 +51,10 @@
 	}}
 }
 
-// check looks at what every run of a hundredth of the planned size has to show.
+// check checks the result of a run at a hundredth of the planned size.
 func check(t *testing.T, r *Result) {
 	t.Helper()
-	for _, b := range r.Rules {
+	for _, b := range r.BrokenRules {
 		t.Error(b)
 	}
 	if r.AtStart.Workers < 126 || r.AtStart.Running < 2500 {
@@ -63,24 +63,24 @@
 	if r.StartsMean < 1 || r.Urgent.Count == 0 || r.Accepted.Count == 0 {
 		t.Errorf("%v starts a second, urgent %v, accepted %v", r.StartsMean, r.Urgent, r.Accepted)
 	}
-	if r.Config.InForce.Count == 0 || r.Config.Unseen > 0 || r.Config.InForce.Max > r.Profile.Budget.ConfigS {
+	if r.Config.InForce.Count == 0 || r.Config.NotInTime > 0 || r.Config.InForce.Max > r.Profile.Budget.ConfigS {
 		t.Errorf("configuration: %+v", r.Config)
 	}
 }
 
-// TestLoopback runs a hundredth of the planned size on loopback sockets, with a rack that
-// dies and a leader that is killed.
+// TestLoopback runs a hundredth of the planned size on loopback sockets, while a rack fails and
+// the leader is killed.
 func TestLoopback(t *testing.T) {
 	p := example(t)
 	p.Run = Timing{SettleS: 16, MeasureS: 14}
 	p.Load.ChangesPerDay *= 2
-	p.Troubles = []Trouble{{AtS: 1, Kind: Rack, Count: 200, Zone: 1}, {AtS: 4, Kind: LeaderKill, ForS: 2}}
+	p.Faults = []Fault{{AtS: 1, Kind: Rack, Count: 200, Zone: 1}, {AtS: 4, Kind: LeaderKill, ForS: 2}}
 	r, err := Run(t.Context(), p, options(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	check(t, r)
-	if len(r.Troubles) != 2 || r.LeaderStayed || r.Worker.BytesPerS <= 0 || r.RunProcesses != 4 {
+	if len(r.Faults) != 2 || r.LeaderStayed || r.Worker.BytesPerS <= 0 || r.RunProcesses != 4 {
 		t.Errorf("%+v", r)
 	}
 	file := filepath.Join(t.TempDir(), "result.json")
@@ -92,27 +92,27 @@
 		t.Fatal(err)
 	}
 	var one, two strings.Builder
-	if r.Table(&one) != nil || again.Table(&two) != nil || one.String() != two.String() {
+	if r.WriteTable(&one) != nil || again.WriteTable(&two) != nil || one.String() != two.String() {
 		t.Errorf("the table of the saved result differs:\n%s\n%s", one.String(), two.String())
 	}
 }
 
-// TestSimulated runs the same in simulated time, with a zone and a region cut off.
+// TestSimulated runs the same size in simulated time, while a zone and a region are disconnected.
 func TestSimulated(t *testing.T) {
 	p := example(t)
 	p.Run = Timing{SettleS: 30, MeasureS: 90}
-	p.Troubles = []Trouble{{AtS: 5, Kind: ZoneCut, Zone: 2, ForS: 10}, {AtS: 25, Kind: RegionCut, Region: 3, ForS: 50}}
+	p.Faults = []Fault{{AtS: 5, Kind: ZoneCut, Zone: 2, ForS: 10}, {AtS: 25, Kind: RegionCut, Region: 3, ForS: 50}}
 	r, err := RunSimulated(p, options(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	check(t, r)
-	if len(r.Troubles) != 2 || r.KilledLeases == 0 {
-		t.Errorf("troubles %v, %d tasks killed by leases: a region that is cut off for longer than a lease loses its tasks", r.Troubles, r.KilledLeases)
+	if len(r.Faults) != 2 || r.KilledByLeases == 0 {
+		t.Errorf("faults %v, %d tasks killed by leases: a region that is disconnected for longer than a lease loses its tasks", r.Faults, r.KilledByLeases)
 	}
 }
 
-// TestMemoryBound ends a run that takes more than it may.
+// TestMemoryBound checks that a run with more processes than its budget ends with an error.
 func TestMemoryBound(t *testing.T) {
 	p := example(t)
 	p.Run = Timing{SettleS: 20, MeasureS: 5}
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestBadProfiles wants one line that names the file, the field and the reason.
+// TestBadProfiles checks that the error names the file, the field and the reason in one line.
 func TestBadProfiles(t *testing.T) {
 	good, err := os.ReadFile(exampleProfile)
 	if err != nil {
@@ -152,33 +152,34 @@
 		}
 	}
 	if _, err := LoadProfile("no-such-file.toml"); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("no error for a missing file")
 	}
 }
 
-// TestFractions wants one line for fractions that can't be run.
+// TestFractions checks that fractions that can't be run are rejected.
 func TestFractions(t *testing.T) {
 	p := example(t)
 	for _, f := range []float64{0, -1, 1.1, math.NaN(), 0.001} {
-		if _, err := p.At(f); err == nil {
-			t.Errorf("a fraction of %v was taken", f)
+		if _, err := p.AtFraction(f); err == nil {
+			t.Errorf("a fraction of %v was accepted", f)
 		}
 	}
-	q, err := p.At(0.1)
+	q, err := p.AtFraction(0.1)
 	if err != nil || q.Cluster.Workers != 1400 || q.Cluster.Controllers != 3 || q.Load.GangTasks != 64 || p.Cluster.Workers != 14000 {
 		t.Errorf("%+v, %v", q, err)
 	}
 	huge := *p
 	huge.Cluster.Workers = 60000
-	if err := checkMachine(&huge); err == nil {
-		t.Error("60,000 workers fit on this computer")
+	if err := checkHostLimits(&huge); err == nil {
+		t.Error("no error for 60,000 workers on this computer")
 	}
 }
 
-// TestFit finds a line through points that scatter, and no slope in scatter alone.
+// TestFit checks that the fit finds a line through points that scatter, and that the estimate
+// ignores a series that only scatters.
 func TestFit(t *testing.T) {
 	f := fitLine([]float64{1, 2, 4, 8}, []float64{3.1, 4.9, 9.1, 16.9})
-	if math.Abs(f.slope-2) > 0.05 || math.Abs(f.base-1) > 0.2 || f.residual > 0.2 || f.from != 1 || f.to != 8 {
+	if math.Abs(f.slope-2) > 0.05 || math.Abs(f.intercept-1) > 0.2 || f.residual > 0.2 || f.measuredFrom != 1 || f.measuredTo != 8 {
 		t.Errorf("%+v", f)
 	}
 	s := &Slopes{Base: &Profile{}}
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -14,11 +14,11 @@
 	"brooklb/internal/wire"
 )
 
-// RunSimulated plays a profile in one process and in simulated time. Processor times are
-// those of the controllers' own steps, without sockets and HTTP; memory by controller and
-// bytes are not known.
-func RunSimulated(whole *Profile, o Options) (*Result, error) {
-	p, err := whole.At(o.Fraction)
+// RunSimulated runs a profile in one process and in simulated time. Processor times are those
+// of the controllers' own steps, without sockets and HTTP. The result has no memory and sockets
+// per controller and no numbers of bytes.
+func RunSimulated(planned *Profile, o Options) (*Result, error) {
+	p, err := planned.AtFraction(o.Fraction)
 	if err != nil {
 		return nil, err
 	}
@@ -30,24 +30,24 @@
 	world.MeterCPU = true
 	world.Log = slog.New(slog.DiscardHandler)
 	w := sim.New(world)
-	r := &simulatedRun{p: p, w: w, messages: map[dev.TrafficKey]int{}}
-	r.labels()
-	w.OnSend = r.sent
+	r := &simulatedRun{profile: p, world: w, messages: map[dev.TrafficKey]int{}}
+	r.indexLabels()
+	w.OnSend = r.countRequest
 	w.Delay = func(from string, c actor.Call) time.Duration { return p.delay(w.Place(from), w.PlaceOf(c.Addr)) }
 	w.Lag = w.Delay
-	r.m = newMeasures(p, w)
+	r.measurements = newMeasurements(p, w)
 	l := newLoad(w, p, o.Seed)
-	l.onSet = r.m.set
+	l.onChanged = r.measurements.followChange
 	l.start()
-	var played []string
-	planTroubles(w, p, w.Kill, func(what string) { played = append(played, what) })
+	var injected []string
+	scheduleFaults(w, p, w.Kill, func(description string) { injected = append(injected, description) })
 	w.Run(seconds(p.Run.SettleS))
 	first := r.sample()
 	w.Run(seconds(p.Run.SettleS + p.Run.MeasureS))
 	last := r.sample()
-	x := newResult(Simulated, p, o.Fraction, o.Seed, r.m)
+	x := newResult(Simulated, p, o.Fraction, o.Seed, r.measurements)
 	r.summarize(x, first, last)
-	x.Troubles, x.LeaderStayed = played, first.leader == last.leader && len(played) == 0
+	x.Faults, x.LeaderStayed = injected, first.leader == last.leader && len(injected) == 0
 	own, err := procstat.Read(os.Getpid())
 	if err != nil {
 		return nil, err
@@ -57,28 +57,29 @@
 	return x, nil
 }
 
-// simulatedRun counts what is sent.
+// simulatedRun is a run in simulated time.
 type simulatedRun struct {
-	p        *Profile
-	w        *sim.World
-	m        *measures
-	messages map[dev.TrafficKey]int
-	byAddr   map[string]string // controllers' labels
+	profile      *Profile
+	world        *sim.World
+	measurements *measurements
+	messages     map[dev.TrafficKey]int
+	labelByAddr  map[string]string // labels of the controllers
 }
 
-func (r *simulatedRun) labels() {
-	r.byAddr = map[string]string{}
-	for _, s := range r.w.Set {
+// indexLabels maps the addresses of each controller to its label.
+func (r *simulatedRun) indexLabels() {
+	r.labelByAddr = map[string]string{}
+	for _, s := range r.world.Set {
 		for _, addr := range []string{s.Bind, s.ClusterListen} {
-			r.byAddr[addr] = s.Label
+			r.labelByAddr[addr] = s.Label
 		}
 	}
 }
 
-// sent counts a request by its interface and controller.
-func (r *simulatedRun) sent(from string, c actor.Call) {
+// countRequest counts a request by its interface and controller.
+func (r *simulatedRun) countRequest(from string, c actor.Call) {
 	key := dev.TrafficKey{Interface: dev.Cloud, Controller: from}
-	switch to := r.byAddr[c.Addr]; {
+	switch to := r.labelByAddr[c.Addr]; {
 	case to != "" && from == "users":
 		key = dev.TrafficKey{Interface: dev.Users, Controller: to}
 	case to != "" && c.Path == wire.PathReport:
@@ -93,20 +94,20 @@
 	r.messages[key]++
 }
 
-// simulatedSample is what had been used up to one moment of simulated time.
+// simulatedSample is the usage at one moment of simulated time, counted since the start.
 type simulatedSample struct {
 	leader   string
 	busy     []time.Duration
 	messages map[dev.TrafficKey]int
 	census   sim.Census
-	changed  int
+	changes  int
 	refused  int
 }
 
 func (r *simulatedRun) sample() simulatedSample {
-	s := simulatedSample{leader: r.w.State.LeaderName(), messages: map[dev.TrafficKey]int{}, census: r.w.Census(), changed: r.w.State.Changed, refused: r.w.State.Limited}
-	for i := range r.w.Set {
-		s.busy = append(s.busy, r.w.Busy(i))
+	s := simulatedSample{leader: r.world.State.LeaderName(), messages: map[dev.TrafficKey]int{}, census: r.world.Census(), changes: r.world.State.Changed, refused: r.world.State.Limited}
+	for i := range r.world.Set {
+		s.busy = append(s.busy, r.world.Busy(i))
 	}
 	for k, n := range r.messages {
 		s.messages[k] = n
@@ -114,22 +115,23 @@
 	return s
 }
 
+// summarize adds what the samples at the start and the end of measuring show to the result.
 func (r *simulatedRun) summarize(x *Result, first, last simulatedSample) {
-	span := r.p.Run.MeasureS
+	span := r.profile.Run.MeasureS
 	x.AtStart, x.AtEnd = first.census, last.census
-	x.State = StateResult{Changes: round(float64(last.changed-first.changed)/span, 1), Refused: round(float64(last.refused-first.refused)/span, 2), Keys: last.census.Keys}
+	x.State = StateResult{Changes: round(float64(last.changes-first.changes)/span, 1), Refused: round(float64(last.refused-first.refused)/span, 2), Keys: last.census.Keys}
 	for _, role := range []Role{RoleLeader, RoleOther} {
 		y := RoleResult{Role: role, Interfaces: map[dev.Interface]Rates{}}
-		for i, s := range r.w.Set {
+		for i, s := range r.world.Set {
 			if (s.Label == last.leader) != (role == RoleLeader) {
 				continue
 			}
 			y.Processes++
 			cores := (last.busy[i] - first.busy[i]).Seconds() / span
-			y.CPU, y.CPUMost = y.CPU+cores, max(y.CPUMost, cores)
+			y.CPU, y.CPUMax = y.CPU+cores, max(y.CPUMax, cores)
 		}
 		n := float64(max(1, y.Processes))
-		y.CPU, y.CPUMost = round(y.CPU/n, 4), round(y.CPUMost, 4)
+		y.CPU, y.CPUMax = round(y.CPU/n, 4), round(y.CPUMax, 4)
 		for k, m := range last.messages {
 			d := float64(m-first.messages[k]) / span
 			if k.Interface == dev.State && role == RoleLeader {
