--- a/cmd/brooklb/dev.go
+++ b/cmd/brooklb/dev.go
@@ -20,15 +20,15 @@
 	"github.com/spf13/cobra"
 )
 
-// devCommand runs a whole cluster on this computer.
+// devCommand returns the command that runs a whole cluster on this computer.
 func devCommand() *cobra.Command {
-	var nodes, machines, initial, users int
-	var boot, most time.Duration
+	var controllers, machines, initial, users int
+	var bootTime, duration time.Duration
 	var seed uint64
-	var front, faults, logs string
+	var listenAddr, faults, logs string
 	var demo bool
 	c := &cobra.Command{
-		Use: "dev", Short: "run a simulated cluster on this computer: real controllers, stand-ins for all else",
+		Use: "dev", Short: "run a simulated cluster on this computer: real controllers, everything else simulated",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
 				return usageError{errors.New("dev takes no arguments")}
@@ -37,16 +37,16 @@
 		},
 		RunE: func(c *cobra.Command, _ []string) error {
 			switch {
-			case nodes < 1 || nodes > 9:
+			case controllers < 1 || controllers > 9:
 				return usageError{errors.New("--controllers: from 1 to 9")}
 			case machines < 1 || machines > 200 || initial < 0 || initial > 100:
 				return usageError{errors.New("--machines: from 1 to 200, --initial: from 0 to 100")}
 			case users < 0 || users > 5000:
 				return usageError{errors.New("--users: from 0 to 5000 jobs")}
-			case most < time.Second || most > 24*time.Hour || boot < 0 || boot > time.Hour:
-				return usageError{errors.New("--for: from a second to a day, --boot: up to an hour")}
+			case duration < time.Second || duration > 24*time.Hour || bootTime < 0 || bootTime > time.Hour:
+				return usageError{errors.New("--for: from 1s to 24h, --boot: up to 1h")}
 			}
-			cfg := dev.Config{Controllers: nodes, Machines: machines, Initial: initial, BootS: boot.Seconds(), Seed: seed, Front: front, Users: users, For: most,
+			cfg := dev.Config{Controllers: controllers, Machines: machines, Initial: initial, BootS: bootTime.Seconds(), Seed: seed, LoadBalancerAddr: listenAddr, UserJobs: users, Duration: duration,
 				Dir: logs, Out: c.OutOrStdout(), Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))}
 			if faults != "" {
 				f, err := dev.LoadFaults(faults)
@@ -59,9 +59,9 @@
 			if err != nil {
 				return fmt.Errorf("dev: %w", err)
 			}
-			cfg.Controller = func(file string) *exec.Cmd { return exec.Command(self, "--rollouts", "--units", "--config", file) }
+			cfg.ControllerCommand = func(file string) *exec.Cmd { return exec.Command(self, "--rollouts", "--units", "--config", file) }
 			if cfg.Dir == "" {
-				if cfg.Dir, err = dev.Dir(); err != nil {
+				if cfg.Dir, err = dev.MakeTempDir(); err != nil {
 					return fmt.Errorf("dev: %w", err)
 				}
 				defer os.RemoveAll(cfg.Dir)
@@ -69,7 +69,7 @@
 				return fmt.Errorf("dev: --logs: %w", err)
 			}
 			if demo {
-				cfg.Work = func(ctx context.Context) error { return runDemo(ctx, c.OutOrStdout(), front) }
+				cfg.Work = func(ctx context.Context) error { return runDemo(ctx, c.OutOrStdout(), listenAddr) }
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -77,16 +77,16 @@
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&nodes, "controllers", 3, "controllers, each a process of its own")
-	f.IntVar(&machines, "machines", 8, "simulated machines of each kind that the cloud has in each of three zones")
+	f.IntVar(&controllers, "controllers", 3, "number of controllers, each in its own process")
+	f.IntVar(&machines, "machines", 8, "simulated machines of each kind in each of the cloud's three zones")
 	f.IntVar(&initial, "initial", 6, "simulated machines that are up at the start")
-	f.DurationVar(&boot, "boot", 3*time.Second, "how long a simulated machine takes to come up")
-	f.Uint64Var(&seed, "seed", 1, "seed of the stand-ins")
-	f.StringVar(&front, "listen", "127.0.0.1:8080", "where users submit")
-	f.IntVar(&users, "users", 0, "jobs that stand-in users submit, in the first half of the time")
-	f.StringVar(&faults, "faults", "", "file of faults to play (deploy/faults.toml is an example)")
-	f.BoolVar(&demo, "demo", false, "submit one job, wait until it is done, and end")
-	f.DurationVar(&most, "for", time.Hour, "end after this time")
+	f.DurationVar(&bootTime, "boot", 3*time.Second, "how long a simulated machine takes to boot")
+	f.Uint64Var(&seed, "seed", 1, "seed of the simulation")
+	f.StringVar(&listenAddr, "listen", "127.0.0.1:8080", "address to which users submit jobs")
+	f.IntVar(&users, "users", 0, "jobs that simulated users submit, in the first half of the time")
+	f.StringVar(&faults, "faults", "", "file of faults to inject (deploy/faults.toml is an example)")
+	f.BoolVar(&demo, "demo", false, "submit one job, wait until it is done, and exit")
+	f.DurationVar(&duration, "for", time.Hour, "stop after this time")
 	f.StringVar(&logs, "logs", "", "keep the controllers' settings and logs in this directory")
 	return c
 }
@@ -96,11 +96,11 @@
  "bundle":"demo","size_gb":0.1,"hulls":null,"yard":null,"same_place":false,"apart":false,"loaners":true,"expect_s":3.0,"snapshot_s":0.0,"stow_s":0.0,"due_s":null}`
 
 // runDemo submits a job and waits until it is done.
-func runDemo(ctx context.Context, out io.Writer, front string) error {
-	cl := &client.Client{Nodes: []string{front}, RetryFor: 30 * time.Second}
+func runDemo(ctx context.Context, out io.Writer, listenAddr string) error {
+	cl := &client.Client{Nodes: []string{listenAddr}, RetryFor: 30 * time.Second}
 	status, b, err := cl.Do("POST", wire.PathJobs, []byte(demoJob))
 	if err != nil || status != 201 {
-		return fmt.Errorf("demo: the job was not accepted: %d %s %w", status, b, errOr(err))
+		return fmt.Errorf("demo: the job was not accepted: %d %s %w", status, b, errOrUnexpected(err))
 	}
 	fmt.Fprintln(out, "demo: job j-1 with 8 tasks of 3 s is accepted")
 	last := ""
@@ -111,7 +111,7 @@
 		}
 		var s wire.JobState
 		if status != 200 || json.Unmarshal(b, &s) != nil || s.Done == nil || s.Running == nil {
-			return fmt.Errorf("demo: an answer makes no sense: %d %s", status, b)
+			return fmt.Errorf("demo: malformed answer: %d %s", status, b)
 		}
 		if now := fmt.Sprintf("%s, %d tasks done, %d running", s.Phase, *s.Done, *s.Running); now != last {
 			fmt.Fprintln(out, "demo: j-1 is", now)
@@ -122,11 +122,11 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	return errors.New("demo: the job is not done in time")
+	return errors.New("demo: the job was not done in time")
 }
 
-// errOr is err, or an error for an answer that was not the expected one.
-func errOr(err error) error {
+// errOrUnexpected returns err, or an error about an unexpected answer if err is nil.
+func errOrUnexpected(err error) error {
 	if err == nil {
 		return errors.New("(unexpected answer)")
 	}
--- a/cmd/brooklb/main.go
+++ b/cmd/brooklb/main.go
@@ -1,4 +1,4 @@
-// Command brooklb is the controller daemon, and asks a running service.
+// Command brooklb is the controller daemon and the command-line client of a running service.
 package main
 
 import (
@@ -16,20 +16,20 @@
 // version is the product's version.
 const version = "0.1.0"
 
-// usageError marks errors of the command line; they end with status 2.
+// usageError marks errors of the command line, for which the exit status is 2.
 type usageError struct{ error }
 
 func main() {
-	err := run(root(), os.Args[1:])
+	err := execute(rootCommand(), os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "brooklb:", err)
 	}
 	os.Exit(exitStatus(err))
 }
 
-// run executes the command line. A first word that is no command is an error also with
-// --help, for which the library would show the help of the program.
-func run(c *cobra.Command, args []string) error {
+// execute executes the command line. A first word that is not a command is an error even
+// with --help, for which cobra would show the program's help.
+func execute(c *cobra.Command, args []string) error {
 	if cmd, _, err := c.Find(args); err == nil && cmd == c && len(args) > 0 && args[0] != "" && args[0][0] != '-' && args[0] != "help" && args[0] != "completion" {
 		return usageError{fmt.Errorf("unknown command or argument %q", args[0])}
 	}
@@ -51,7 +51,7 @@
 	return 1
 }
 
-func level() slog.Level {
+func logLevel() slog.Level {
 	switch os.Getenv("LOG_LEVEL") {
 	case "debug":
 		return slog.LevelDebug
@@ -62,12 +62,12 @@
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var config, options string
 	var check, rollouts, units bool
 	c := &cobra.Command{
 		Use:           "brooklb",
-		Short:         "a cluster scheduler: some controllers of one program, without disks",
+		Short:         "a cluster scheduler with replicated controllers that need no disks",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args: func(_ *cobra.Command, args []string) error {
@@ -80,7 +80,7 @@
 			if config == "" {
 				return usageError{errors.New("--config FILE is missing")}
 			}
-			log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level()}))
+			log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 			s, err := brooklb.New(brooklb.Config{SettingsFile: config, Rollouts: rollouts, Units: units, OptionsFile: options, Log: log})
 			if err != nil || check {
 				if err == nil {
@@ -95,7 +95,7 @@
 	c.Flags().BoolVar(&rollouts, "rollouts", false, "let users roll out new versions of services")
 	c.Flags().BoolVar(&units, "units", false, "let operators set counted resources")
 	c.Flags().StringVar(&options, "options", "", "the operator's own settings (properties file)")
-	c.Flags().BoolVar(&check, "check", false, "check the settings and end")
+	c.Flags().BoolVar(&check, "check", false, "check the settings and exit")
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	c.AddCommand(&cobra.Command{Use: "version", Short: "print the version", Run: func(*cobra.Command, []string) { fmt.Println("brooklb", version) }})
 	c.AddCommand(userCommands()...)
--- a/cmd/brooklb/rollout.go
+++ b/cmd/brooklb/rollout.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// rolloutCommand has what people do with roll-outs of services.
+// rolloutCommand returns the command for roll-outs of services.
 func rolloutCommand() *cobra.Command {
 	c := &cobra.Command{Use: "rollout", Short: "roll out new versions of services",
 		Args: func(_ *cobra.Command, args []string) error {
@@ -29,47 +29,49 @@
 		}}
 	c.AddCommand(rolloutStart(), rolloutStatus(), rolloutHistory(), rolloutList())
 	for _, verb := range []struct{ name, short string }{
-		{wire.VerbPause, "hold a roll-out where it is; it still goes back if checks fail"},
-		{wire.VerbResume, "go on with a paused roll-out, or try again with one that is stuck"},
-		{wire.VerbAbort, "stop a roll-out and bring the old version back"},
-		{wire.VerbWithdraw, "end a service with all its versions"},
+		{wire.VerbPause, "pause a roll-out; it is still rolled back if checks fail"},
+		{wire.VerbResume, "resume a paused roll-out, or retry one that is stuck"},
+		{wire.VerbAbort, "stop a roll-out and restore the old version"},
+		{wire.VerbWithdraw, "stop a service and all its versions"},
 	} {
-		c.AddCommand(rolloutAsk(verb.name, verb.short))
+		c.AddCommand(rolloutAction(verb.name, verb.short))
 	}
 	return c
 }
 
-// whoami is who asks, for the history.
-func whoami() string {
+// currentUser returns the name of the user for the history, or "" if it is unknown.
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
 	return ""
 }
 
-func services(n int, what string) cobra.PositionalArgs {
+// serviceArgs checks that there are n arguments and that the first is a service name.
+func serviceArgs(n int, what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
 			return usageError{errors.New(what)}
 		}
 		if n > 0 && !wire.ValidService(args[0]) {
-			return usageError{fmt.Errorf("%q is no name of a service: up to 40 of a-z, 0-9 and -", args[0])}
+			return usageError{fmt.Errorf("%q is not a service name: up to 40 of a-z, 0-9 and -", args[0])}
 		}
 		return nil
 	}
 }
 
-func path(service, verb string) string {
+// servicePath returns the request path of a verb on a service.
+func servicePath(service, verb string) string {
 	return strings.TrimSuffix(wire.PathServices+"/"+service+"/"+verb, "/")
 }
 
 func rolloutStart() *cobra.Command {
-	var a asker
-	return a.flags(&cobra.Command{
+	var flags clientFlags
+	return flags.register(&cobra.Command{
 		Use: "start SERVICE FILE", Short: "begin a roll-out described in JSON in a file or on standard input (-)",
-		Args: services(2, "rollout start takes a service and a file, or - for standard input"),
+		Args: serviceArgs(2, "rollout start takes a service and a file, or - for standard input"),
 		RunE: func(c *cobra.Command, args []string) error {
-			body, err := read(c, args[1])
+			body, err := readInput(c, args[1])
 			if err != nil {
 				return err
 			}
@@ -80,45 +82,46 @@
 			if r.By == "" {
 				var m map[string]json.RawMessage
 				if err := json.Unmarshal(body, &m); err == nil {
-					m["by"] = wire.Encode(whoami())
+					m["by"] = wire.Encode(currentUser())
 					body = wire.Encode(m)
 				}
 			}
-			b, err := a.ask("POST", path(args[0], wire.VerbStart), body)
+			b, err := flags.request("POST", servicePath(args[0], wire.VerbStart), body)
 			if err != nil {
 				return err
 			}
-			return a.service(c.OutOrStdout(), b)
+			return flags.printService(c.OutOrStdout(), b)
 		}})
 }
 
-func rolloutAsk(verb, short string) *cobra.Command {
-	var a asker
+// rolloutAction returns the command that sends a verb for a service.
+func rolloutAction(verb, short string) *cobra.Command {
+	var flags clientFlags
 	var why string
-	c := a.flags(&cobra.Command{
-		Use: verb + " SERVICE", Short: short, Args: services(1, "rollout "+verb+" takes one service"),
+	c := flags.register(&cobra.Command{
+		Use: verb + " SERVICE", Short: short, Args: serviceArgs(1, "rollout "+verb+" takes one service"),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := a.ask("POST", path(args[0], verb), wire.Encode(wire.RequestInfo{By: whoami(), Why: why}))
+			b, err := flags.request("POST", servicePath(args[0], verb), wire.Encode(wire.RequestInfo{By: currentUser(), Why: why}))
 			if err != nil {
 				return err
 			}
-			return a.service(c.OutOrStdout(), b)
+			return flags.printService(c.OutOrStdout(), b)
 		}})
 	c.Flags().StringVar(&why, "why", "", "the reason, for the history")
 	return c
 }
 
-// service shows a service and its roll-out.
-func (a *asker) service(w io.Writer, b []byte) error {
-	if a.asJSON {
+// printService prints a service and its roll-out.
+func (flags *clientFlags) printService(w io.Writer, b []byte) error {
+	if flags.printJSON {
 		fmt.Fprintln(w, string(b))
 		return nil
 	}
 	var v wire.ServiceView
 	if err := json.Unmarshal(b, &v); err != nil {
-		return fmt.Errorf("the answer makes no sense: %w", err)
+		return fmt.Errorf("malformed answer: %w", err)
 	}
-	fmt.Fprintln(w, line(&v))
+	fmt.Fprintln(w, serviceLine(&v))
 	if r := v.Rollout; r != nil {
 		if r.Why != "" {
 			fmt.Fprintln(w, "why:", r.Why)
@@ -126,15 +129,15 @@
 		for _, e := range r.Evidence {
 			fmt.Fprintln(w, "evidence:", e)
 		}
-		if l := r.Live; l != nil && l.CheckP50MS > 0 {
-			fmt.Fprintf(w, "checks: every %.1f s, answered in %.1f ms (median), %.1f ms (99 of 100)\n", l.CheckEveryS, l.CheckP50MS, l.CheckP99MS)
+		if live := r.Live; live != nil && live.CheckP50MS > 0 {
+			fmt.Fprintf(w, "checks: every %.1f s, answered in %.1f ms (median), %.1f ms (99 of 100)\n", live.CheckEveryS, live.CheckP50MS, live.CheckP99MS)
 		}
 	}
 	return nil
 }
 
-// line is a service in one line.
-func line(v *wire.ServiceView) string {
+// serviceLine describes a service and its roll-out in one line.
+func serviceLine(v *wire.ServiceView) string {
 	s := v.Service + ": "
 	switch {
 	case v.Ended:
@@ -158,9 +161,10 @@
 	return s
 }
 
-// look asks all nodes for a service: the leader knows most.
-func (a *asker) look(name string) ([]byte, *wire.ServiceView, error) {
-	b, err := a.leaders(path(name, ""), func(b []byte) bool {
+// getService requests a service, from the leader if possible: only the leader knows the
+// health of the instances.
+func (flags *clientFlags) getService(name string) ([]byte, *wire.ServiceView, error) {
+	b, err := flags.requestLeader(servicePath(name, ""), func(b []byte) bool {
 		var v wire.ServiceView
 		return json.Unmarshal(b, &v) == nil && (v.Rollout == nil || v.Rollout.Live != nil)
 	})
@@ -169,60 +173,60 @@
 	}
 	var v wire.ServiceView
 	if err := json.Unmarshal(b, &v); err != nil {
-		return nil, nil, fmt.Errorf("the answer makes no sense: %w", err)
+		return nil, nil, fmt.Errorf("malformed answer: %w", err)
 	}
 	return b, &v, nil
 }
 
 func rolloutStatus() *cobra.Command {
-	var a asker
+	var flags clientFlags
 	var watch bool
 	var every time.Duration
-	c := a.flags(&cobra.Command{
-		Use: "status SERVICE", Short: "how a service and its roll-out stand, and why",
-		Args: services(1, "rollout status takes one service"),
+	c := flags.register(&cobra.Command{
+		Use: "status SERVICE", Short: "show the state of a service and its roll-out",
+		Args: serviceArgs(1, "rollout status takes one service"),
 		RunE: func(c *cobra.Command, args []string) error {
 			out := c.OutOrStdout()
 			last := ""
 			for {
-				b, v, err := a.look(args[0])
+				b, v, err := flags.getService(args[0])
 				if err != nil {
 					return err
 				}
 				if !watch {
-					return a.service(out, b)
+					return flags.printService(out, b)
 				}
-				now := line(v)
+				now := serviceLine(v)
 				if v.Rollout != nil && v.Rollout.Why != "" {
 					now += "; " + v.Rollout.Why
 				}
 				switch {
-				case a.asJSON:
+				case flags.printJSON:
 					fmt.Fprintln(out, string(b))
 				case now != last:
 					fmt.Fprintf(out, "%s  %s\n", time.Now().Format("15:04:05"), now)
 				}
 				last = now
 				if v.Rollout == nil || v.Rollout.State == "stuck" {
-					return a.outcome(out, args[0], v)
+					return flags.printOutcome(out, args[0], v)
 				}
 				time.Sleep(every)
 			}
 		}})
-	c.Flags().BoolVar(&watch, "watch", false, "go on telling until the roll-out is over; status 5 if it did not succeed")
+	c.Flags().BoolVar(&watch, "watch", false, "print each change until the roll-out is over; exit status 5 if it did not succeed")
 	c.Flags().DurationVar(&every, "every", time.Second, "how often to ask, with --watch")
 	return c
 }
 
-// exitFailed is the status of a watch of a roll-out that did not succeed.
+// exitFailed is the exit status if a watched roll-out did not succeed.
 const exitFailed = 5
 
-// outcome tells how a watched roll-out ended.
-func (a *asker) outcome(out io.Writer, name string, v *wire.ServiceView) error {
+// printOutcome prints how a watched roll-out ended, or returns an error if it did not succeed.
+func (flags *clientFlags) printOutcome(out io.Writer, name string, v *wire.ServiceView) error {
 	if v.Rollout != nil {
 		return exitError{exitFailed, fmt.Errorf("roll-out %s is stuck: %s", v.Rollout.ID, v.Rollout.Why)}
 	}
-	b, err := a.ask("GET", path(name, wire.VerbHistory), nil)
+	b, err := flags.request("GET", servicePath(name, wire.VerbHistory), nil)
 	if err != nil {
 		return err
 	}
@@ -230,7 +234,7 @@
 		Rollouts []wire.RolloutView `json:"rollouts"`
 	}
 	if err := json.Unmarshal(b, &h); err != nil {
-		return fmt.Errorf("the answer makes no sense: %w", err)
+		return fmt.Errorf("malformed answer: %w", err)
 	}
 	if len(h.Rollouts) == 0 {
 		return nil
@@ -239,23 +243,23 @@
 	if r.State != "done" {
 		return exitError{exitFailed, fmt.Errorf("roll-out %s: %s: %s", r.ID, r.State, r.Why)}
 	}
-	if !a.asJSON {
+	if !flags.printJSON {
 		fmt.Fprintf(out, "roll-out %s: done\n", r.ID)
 	}
 	return nil
 }
 
 func rolloutHistory() *cobra.Command {
-	var a asker
-	return a.flags(&cobra.Command{
-		Use: "history SERVICE", Short: "the last roll-outs of a service: who, when, how they ended, and why",
-		Args: services(1, "rollout history takes one service"),
+	var flags clientFlags
+	return flags.register(&cobra.Command{
+		Use: "history SERVICE", Short: "list the last roll-outs of a service: who began them, when, how they ended, and why",
+		Args: serviceArgs(1, "rollout history takes one service"),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := a.ask("GET", path(args[0], wire.VerbHistory), nil)
+			b, err := flags.request("GET", servicePath(args[0], wire.VerbHistory), nil)
 			if err != nil {
 				return err
 			}
-			if a.asJSON {
+			if flags.printJSON {
 				fmt.Fprintln(c.OutOrStdout(), string(b))
 				return nil
 			}
@@ -263,7 +267,7 @@
 				Rollouts []wire.RolloutView `json:"rollouts"`
 			}
 			if err := json.Unmarshal(b, &h); err != nil {
-				return fmt.Errorf("the answer makes no sense: %w", err)
+				return fmt.Errorf("malformed answer: %w", err)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "ROLL-OUT\tFROM\tTO\tBY\tBEGAN\tTOOK\tSTATE\tSTEP\tWHY")
@@ -283,15 +287,15 @@
 }
 
 func rolloutList() *cobra.Command {
-	var a asker
-	return a.flags(&cobra.Command{
-		Use: "list", Short: "all services", Args: services(0, "rollout list takes no arguments"),
+	var flags clientFlags
+	return flags.register(&cobra.Command{
+		Use: "list", Short: "list all services", Args: serviceArgs(0, "rollout list takes no arguments"),
 		RunE: func(c *cobra.Command, _ []string) error {
-			b, err := a.ask("GET", wire.PathServices, nil)
+			b, err := flags.request("GET", wire.PathServices, nil)
 			if err != nil {
 				return err
 			}
-			if a.asJSON {
+			if flags.printJSON {
 				fmt.Fprintln(c.OutOrStdout(), string(b))
 				return nil
 			}
@@ -300,10 +304,10 @@
 				More     int                `json:"more"`
 			}
 			if err := json.Unmarshal(b, &l); err != nil {
-				return fmt.Errorf("the answer makes no sense: %w", err)
+				return fmt.Errorf("malformed answer: %w", err)
 			}
 			for i := range l.Services {
-				fmt.Fprintln(c.OutOrStdout(), line(&l.Services[i]))
+				fmt.Fprintln(c.OutOrStdout(), serviceLine(&l.Services[i]))
 			}
 			if l.More > 0 {
 				fmt.Fprintf(c.OutOrStdout(), "and %d more\n", l.More)
--- a/cmd/brooklb/scale.go
+++ b/cmd/brooklb/scale.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// scaleFlags are the flags of a run.
+// scaleFlags are the flags of scale.
 type scaleFlags struct {
 	fraction  float64
 	seed      uint64
@@ -25,30 +25,32 @@
 	logs      string
 }
 
-// scaleCommand runs a cluster of a planned size, or a fraction of it.
+// scaleCommand returns the command that runs a cluster of a planned size, or a fraction
+// of it.
 func scaleCommand() *cobra.Command {
 	var f scaleFlags
 	c := &cobra.Command{
 		Use: "scale PROFILE", Short: "run a cluster of a planned size, or a fraction of it, under load on this computer, and report what it took",
-		Args: oneFile("PROFILE"),
+		Args: oneFileArg("PROFILE"),
 		RunE: func(c *cobra.Command, args []string) error { return runScale(c, args[0], f) },
 	}
 	c.Flags().Float64Var(&f.fraction, "fraction", 0.01, "part of the profile's size, above 0 and at most 1")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the stand-ins and the load")
-	c.Flags().BoolVar(&f.simulated, "simulated", false, "in one process and in simulated time, without sockets")
-	c.Flags().StringVar(&f.json, "json", "", "write the result to this file, too")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the simulation and the load")
+	c.Flags().BoolVar(&f.simulated, "simulated", false, "run in one process and in simulated time, without sockets")
+	c.Flags().StringVar(&f.json, "json", "", "also write the result to this file")
 	c.Flags().StringVar(&f.logs, "logs", "", "keep the controllers' settings and logs in this directory")
 	c.AddCommand(slopesCommand(), pageCommand())
 	return c
 }
 
-// pageCommand writes the tables of the capacity page from the output of runs.
+// pageCommand returns the command that writes the tables of the capacity page from the
+// results of runs.
 func pageCommand() *cobra.Command {
 	var slopes, profile string
 	var runs []string
 	c := &cobra.Command{
-		Use: "page FILE", Short: "write the tables of a capacity page anew, from the output of runs",
-		Args: oneFile("FILE"),
+		Use: "page FILE", Short: "update the tables of a capacity page from the results of runs",
+		Args: oneFileArg("FILE"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if slopes == "" || profile == "" {
 				return usageError{errors.New("--slopes FILE and --profile FILE are needed")}
@@ -86,13 +88,13 @@
 	return scale.UpdatePage(page, slopes, planned, named)
 }
 
-// slopesCommand measures how the costs grow with one size at a time.
+// slopesCommand returns the command that measures how the costs grow with each size.
 func slopesCommand() *cobra.Command {
 	var out, only string
 	var parallel int
 	c := &cobra.Command{
-		Use: "slopes PROFILE", Short: "measure by series of small runs how the costs grow with each size",
-		Args: oneFile("PROFILE"),
+		Use: "slopes PROFILE", Short: "measure with series of small runs how the costs grow with each size",
+		Args: oneFileArg("PROFILE"),
 		RunE: func(c *cobra.Command, args []string) error {
 			if out == "" || parallel < 1 || parallel > 8 {
 				return usageError{errors.New("--out FILE is needed, --parallel is from 1 to 8")}
@@ -105,8 +107,8 @@
 		},
 	}
 	c.Flags().StringVar(&out, "out", "", "write the results to this file")
-	c.Flags().StringVar(&only, "only", "", "measure one series anew, such as workers, and keep the others of the file")
-	c.Flags().IntVar(&parallel, "parallel", 1, "runs at a time")
+	c.Flags().StringVar(&only, "only", "", "measure only this series again, such as workers, and keep the others of the file")
+	c.Flags().IntVar(&parallel, "parallel", 1, "number of concurrent runs")
 	return c
 }
 
@@ -115,7 +117,7 @@
 	if err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
-	dir, err := dev.Dir()
+	dir, err := dev.MakeTempDir()
 	if err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
@@ -141,8 +143,8 @@
 	return err
 }
 
-// oneFile checks that there is one argument.
-func oneFile(name string) cobra.PositionalArgs {
+// oneFileArg checks that there is exactly one argument.
+func oneFileArg(name string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != 1 {
 			return usageError{fmt.Errorf("%s takes one argument, %s", c.Name(), name)}
@@ -161,7 +163,7 @@
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r, err := scaleOnce(ctx, c, p, f)
+	r, err := runCluster(ctx, c, p, f)
 	if err != nil {
 		return fmt.Errorf("scale: %w", err)
 	}
@@ -179,23 +181,23 @@
 	return nil
 }
 
-func scaleOnce(ctx context.Context, c *cobra.Command, p *scale.Profile, f scaleFlags) (*scale.Result, error) {
-	o := scale.Options{Fraction: f.fraction, Seed: f.seed, Dir: f.logs, Progress: c.ErrOrStderr()}
+func runCluster(ctx context.Context, c *cobra.Command, p *scale.Profile, f scaleFlags) (*scale.Result, error) {
+	options := scale.Options{Fraction: f.fraction, Seed: f.seed, Dir: f.logs, Progress: c.ErrOrStderr()}
 	if f.simulated {
-		return scale.RunSimulated(p, o)
+		return scale.RunSimulated(p, options)
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	o.Controller = func(file string) *exec.Cmd { return exec.Command(self, "--rollouts", "--units", "--config", file) }
-	if o.Dir == "" {
-		if o.Dir, err = dev.Dir(); err != nil {
+	options.Controller = func(file string) *exec.Cmd { return exec.Command(self, "--rollouts", "--units", "--config", file) }
+	if options.Dir == "" {
+		if options.Dir, err = dev.MakeTempDir(); err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(o.Dir)
-	} else if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+		defer os.RemoveAll(options.Dir)
+	} else if err := os.MkdirAll(options.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("--logs: %w", err)
 	}
-	return scale.Run(ctx, p, o)
+	return scale.Run(ctx, p, options)
 }
--- a/cmd/brooklb/state.go
+++ b/cmd/brooklb/state.go
@@ -17,42 +17,42 @@
 	"github.com/spf13/cobra"
 )
 
-// exitFindings is the status of a check that found something.
+// exitFindings is the exit status if a check has findings or a comparison differences.
 const exitFindings = 6
 
-// stateAsker asks the state service within a rate.
-type stateAsker struct {
+// stateClient sends requests to the state service at a limited rate.
+type stateClient struct {
 	addr     string
 	patience time.Duration
 	rps      float64
 	last     time.Time
 }
 
-func (a *stateAsker) flags(c *cobra.Command) *cobra.Command {
-	c.Flags().StringVar(&a.addr, "state", "", "address of the state service")
-	c.Flags().DurationVar(&a.patience, "for", time.Minute, "how long to try again what is refused for now")
-	c.Flags().Float64Var(&a.rps, "rps", 5, "requests a second: what the controllers don't need of the service's limit")
+func (state *stateClient) register(c *cobra.Command) *cobra.Command {
+	c.Flags().StringVar(&state.addr, "state", "", "address of the state service")
+	c.Flags().DurationVar(&state.patience, "for", time.Minute, "how long to retry requests that fail or are refused temporarily")
+	c.Flags().Float64Var(&state.rps, "rps", 5, "requests per second: the part of the service's limit that the controllers don't need")
 	return c
 }
 
-func (a *stateAsker) check() error {
-	if a.addr == "" {
+func (state *stateClient) check() error {
+	if state.addr == "" {
 		return usageError{errors.New("--state IP:PORT is missing")}
 	}
-	if !(a.rps > 0) || a.rps > 1000 {
+	if !(state.rps > 0) || state.rps > 1000 {
 		return usageError{errors.New("--rps: above 0, up to 1000")}
 	}
 	return nil
 }
 
-// Ask implements snapshot.Asker.
-func (a *stateAsker) Ask(method, path string, body []byte) (int, []byte, error) {
-	time.Sleep(time.Until(a.last.Add(time.Duration(float64(time.Second) / a.rps))))
-	a.last = time.Now()
-	return (&client.Client{Nodes: []string{a.addr}, RetryFor: a.patience}).Do(method, path, body)
+// Ask sends a request to the state service, as package snapshot needs it.
+func (state *stateClient) Ask(method, path string, body []byte) (int, []byte, error) {
+	time.Sleep(time.Until(state.last.Add(time.Duration(float64(time.Second) / state.rps))))
+	state.last = time.Now()
+	return (&client.Client{Nodes: []string{state.addr}, RetryFor: state.patience}).Do(method, path, body)
 }
 
-func load(file string) (*snapshot.Snapshot, error) {
+func loadSnapshot(file string) (*snapshot.Snapshot, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -65,9 +65,9 @@
 	return s, nil
 }
 
-// stateCommand has what operators do with the state of a cluster.
+// stateCommand returns the command for copies and checks of a cluster's state.
 func stateCommand() *cobra.Command {
-	c := &cobra.Command{Use: "state", Short: "copy, look into, check and restore the state of a cluster",
+	c := &cobra.Command{Use: "state", Short: "copy, inspect, check and restore the state of a cluster",
 		RunE: func(*cobra.Command, []string) error {
 			return usageError{errors.New("state: export, inspect, verify, check, diff or restore")}
 		}}
@@ -75,7 +75,7 @@
 	return c
 }
 
-func files(n int, what string) cobra.PositionalArgs {
+func fileArgs(n int, what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
 			return usageError{errors.New(what)}
@@ -85,18 +85,18 @@
 }
 
 func stateExport() *cobra.Command {
-	var a stateAsker
-	return a.flags(&cobra.Command{Use: "export FILE", Short: "copy all state at one revision from a live cluster into a file",
-		Args: files(1, "state export takes one file"),
+	var state stateClient
+	return state.register(&cobra.Command{Use: "export FILE", Short: "copy all state at one revision from a live cluster into a file",
+		Args: fileArgs(1, "state export takes one file"),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := a.check(); err != nil {
+			if err := state.check(); err != nil {
 				return err
 			}
-			s, err := snapshot.Fetch(&a, time.Now)
+			s, err := snapshot.Fetch(&state, time.Now)
 			if err != nil {
 				return err
 			}
-			// Never half a file under the name that was asked for.
+			// A partial file must never get the requested name.
 			f, err := os.CreateTemp(filepath.Dir(args[0]), ".brooklb-state-")
 			if err != nil {
 				return err
@@ -109,7 +109,7 @@
 				err = e
 			}
 			if err == nil {
-				err = os.Link(f.Name(), args[0]) // not over another file
+				err = os.Link(f.Name(), args[0]) // fails if the file exists
 			}
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
@@ -122,10 +122,10 @@
 func stateInspect() *cobra.Command {
 	var asJSON bool
 	var key string
-	c := &cobra.Command{Use: "inspect FILE", Short: "what a file has, by kind, or one key of it",
-		Args: files(1, "state inspect takes one file"),
+	c := &cobra.Command{Use: "inspect FILE", Short: "show a file's contents by kind, or one of its keys",
+		Args: fileArgs(1, "state inspect takes one file"),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := load(args[0])
+			s, err := loadSnapshot(args[0])
 			if err != nil {
 				return err
 			}
@@ -139,14 +139,14 @@
 				return exitError{exitUnknown, fmt.Errorf("%s: no key %s", args[0], key)}
 			}
 			_, n := snapshot.Verify(s, nil)
-			return counts(c.OutOrStdout(), s, n, asJSON)
+			return printCounts(c.OutOrStdout(), s, n, asJSON)
 		}}
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	c.Flags().StringVar(&key, "key", "", "show this key's value")
 	return c
 }
 
-func counts(out io.Writer, s *snapshot.Snapshot, n snapshot.Counts, asJSON bool) error {
+func printCounts(out io.Writer, s *snapshot.Snapshot, n snapshot.Counts, asJSON bool) error {
 	if asJSON {
 		b, err := json.Marshal(struct {
 			Epoch uint64 `json:"epoch"`
@@ -168,30 +168,30 @@
 	return w.Flush()
 }
 
-// checking is how a state is to be checked.
-type checking struct {
-	config string
-	asJSON bool
+// checkFlags are the flags of the commands that check a state.
+type checkFlags struct {
+	config    string
+	printJSON bool
 }
 
-func (k *checking) flags(c *cobra.Command) *cobra.Command {
+func (k *checkFlags) register(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVar(&k.config, "config", "", "settings file, for the teams' limits")
-	c.Flags().BoolVar(&k.asJSON, "json", false, "print JSON")
+	c.Flags().BoolVar(&k.printJSON, "json", false, "print JSON")
 	return c
 }
 
-// findings prints what a check found.
-func (k *checking) findings(out io.Writer, s *snapshot.Snapshot) error {
+// printFindings checks a state and prints the findings.
+func (k *checkFlags) printFindings(out io.Writer, s *snapshot.Snapshot) error {
 	var teams []settings.Team
 	if k.config != "" {
-		set, err := settings.Load(k.config)
+		loaded, err := settings.Load(k.config)
 		if err != nil {
 			return err
 		}
-		teams = set.Facts.Teams
+		teams = loaded.Facts.Teams
 	}
 	fs, n := snapshot.Verify(s, teams)
-	if k.asJSON {
+	if k.printJSON {
 		b, err := json.Marshal(struct {
 			Findings []snapshot.Finding `json:"findings"`
 			Counts   snapshot.Counts    `json:"counts"`
@@ -203,76 +203,76 @@
 	} else {
 		w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 		for _, f := range fs {
-			sure := ""
+			note := ""
 			if f.Transient {
-				sure = "(may be so for a while)"
+				note = "(may be so for a while)"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", f.Key, f.Rule, f.Text, sure)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", f.Key, f.Rule, f.Text, note)
 		}
 		if err := w.Flush(); err != nil {
 			return err
 		}
 	}
-	sure := 0
+	definite := 0
 	for _, f := range fs {
 		if !f.Transient {
-			sure++
+			definite++
 		}
 	}
-	if sure > 0 {
-		return exitError{exitFindings, fmt.Errorf("%d findings in %d keys", sure, n.Keys)}
+	if definite > 0 {
+		return exitError{exitFindings, fmt.Errorf("%d findings in %d keys", definite, n.Keys)}
 	}
-	if !k.asJSON {
+	if !k.printJSON {
 		fmt.Fprintf(out, "nothing wrong in %d keys\n", n.Keys)
 	}
 	return nil
 }
 
 func stateVerify() *cobra.Command {
-	var k checking
-	c := &cobra.Command{Use: "verify FILE", Short: "check a file against what always holds",
-		Args: files(1, "state verify takes one file"),
+	var k checkFlags
+	c := &cobra.Command{Use: "verify FILE", Short: "check a file for broken invariants",
+		Args: fileArgs(1, "state verify takes one file"),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := load(args[0])
+			s, err := loadSnapshot(args[0])
 			if err != nil {
 				return err
 			}
-			return k.findings(c.OutOrStdout(), s)
+			return k.printFindings(c.OutOrStdout(), s)
 		}}
-	return k.flags(c)
+	return k.register(c)
 }
 
 func stateCheck() *cobra.Command {
-	var a stateAsker
-	var k checking
-	c := a.flags(&cobra.Command{Use: "check", Short: "check the state of a live cluster; changes nothing",
-		Args: files(0, "state check takes no arguments"),
+	var state stateClient
+	var k checkFlags
+	c := state.register(&cobra.Command{Use: "check", Short: "check the state of a live cluster; changes nothing",
+		Args: fileArgs(0, "state check takes no arguments"),
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := a.check(); err != nil {
+			if err := state.check(); err != nil {
 				return err
 			}
-			s, err := snapshot.Fetch(&a, time.Now)
+			s, err := snapshot.Fetch(&state, time.Now)
 			if err != nil {
 				return err
 			}
-			return k.findings(c.OutOrStdout(), s)
+			return k.printFindings(c.OutOrStdout(), s)
 		}})
-	return k.flags(c)
+	return k.register(c)
 }
 
 func stateDiff() *cobra.Command {
-	return &cobra.Command{Use: "diff FILE FILE", Short: "the keys in which two files differ; status 6 if there are any",
-		Args: files(2, "state diff takes two files"),
+	return &cobra.Command{Use: "diff FILE FILE", Short: "list the keys in which two files differ; exit status 6 if there are any",
+		Args: fileArgs(2, "state diff takes two files"),
 		RunE: func(c *cobra.Command, args []string) error {
-			x, err := load(args[0])
+			first, err := loadSnapshot(args[0])
 			if err != nil {
 				return err
 			}
-			y, err := load(args[1])
+			second, err := loadSnapshot(args[1])
 			if err != nil {
 				return err
 			}
-			added, removed, changed := snapshot.Diff(x, y)
+			added, removed, changed := snapshot.Diff(first, second)
 			for _, l := range []struct {
 				sign string
 				keys []string
@@ -289,26 +289,26 @@
 }
 
 func stateRestore() *cobra.Command {
-	var a stateAsker
+	var state stateClient
 	var ops int
-	c := a.flags(&cobra.Command{Use: "restore FILE", Short: "put a file's state into an empty state service; goes on where it was interrupted",
-		Args: files(1, "state restore takes one file"),
+	c := state.register(&cobra.Command{Use: "restore FILE", Short: "write a file's state to an empty state service; continues an interrupted restore",
+		Args: fileArgs(1, "state restore takes one file"),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := a.check(); err != nil {
+			if err := state.check(); err != nil {
 				return err
 			}
 			if ops < 2 || ops > 1000 {
 				return usageError{errors.New("--ops: from 2 to 1000")}
 			}
-			s, err := load(args[0])
+			s, err := loadSnapshot(args[0])
 			if err != nil {
 				return err
 			}
 			if fs, _ := snapshot.Verify(s, nil); len(fs) > 0 {
-				fmt.Fprintf(c.ErrOrStderr(), "brooklb: %s has %d findings (state verify tells), it is restored as it is\n", args[0], len(fs))
+				fmt.Fprintf(c.ErrOrStderr(), "brooklb: %s has %d findings (see state verify), restoring it unchanged\n", args[0], len(fs))
 			}
 			last := -1
-			if err := snapshot.Restore(&a, s, ops, func(done, all int) {
+			if err := snapshot.Restore(&state, s, ops, func(done, all int) {
 				if p := 10 * done / max(1, all); p != last {
 					last = p
 					fmt.Fprintf(c.OutOrStdout(), "%d of %d keys\n", done, all)
--- a/cmd/brooklb/units.go
+++ b/cmd/brooklb/units.go
@@ -15,9 +15,9 @@
 	"github.com/spf13/cobra"
 )
 
-// unitsCommand has what operators do with counted resources.
+// unitsCommand returns the command for counted resources.
 func unitsCommand() *cobra.Command {
-	c := &cobra.Command{Use: "units", Short: "counted resources, such as seats of a tool",
+	c := &cobra.Command{Use: "units", Short: "show and set counted resources, such as licences of a tool",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return usageError{errors.New("units: list, show, set or remove")}
 		}}
@@ -25,7 +25,8 @@
 	return c
 }
 
-func resource(what string) cobra.PositionalArgs {
+// resourceArg checks that there is one argument and that it is a resource name.
+func resourceArg(what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != 1 {
 			return usageError{errors.New(what)}
@@ -37,15 +38,17 @@
 	}
 }
 
-// leaders asks until the leader answers: it knows who holds what.
-func (a *asker) leaders(path string, live func(b []byte) bool) ([]byte, error) {
-	b, err := a.ask("GET", path, nil)
+// requestLeader sends GET requests until the leader answers, because only the leader
+// knows the live state. After a few attempts it returns another node's answer. live
+// reports whether an answer has the live state.
+func (flags *clientFlags) requestLeader(path string, live func(b []byte) bool) ([]byte, error) {
+	b, err := flags.request("GET", path, nil)
 	if err != nil || live(b) {
 		return b, err
 	}
-	for range 4 { // one address may stand for several nodes
+	for range 4 { // an address may be a load balancer for several nodes
 		found := false
-		a.client().GetFromEachNode(path, func(_ string, status int, x []byte, err error) {
+		flags.client().GetFromEachNode(path, func(_ string, status int, x []byte, err error) {
 			if !found && err == nil && status == 200 && live(x) {
 				found, b = true, append([]byte(nil), x...)
 			}
@@ -58,9 +61,9 @@
 }
 
 func unitsList() *cobra.Command {
-	var a asker
-	return a.flags(&cobra.Command{
-		Use: "list", Short: "all counted resources",
+	var flags clientFlags
+	return flags.register(&cobra.Command{
+		Use: "list", Short: "list all counted resources",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
 				return usageError{errors.New("units list takes no arguments")}
@@ -72,23 +75,23 @@
 				Units []wire.UnitsView `json:"units"`
 				More  int              `json:"more"`
 			}
-			b, err := a.leaders(wire.PathUnits, func(b []byte) bool {
+			b, err := flags.requestLeader(wire.PathUnits, func(b []byte) bool {
 				return json.Unmarshal(b, &l) == nil && (len(l.Units) == 0 || l.Units[0].Live != nil)
 			})
 			if err != nil {
 				return err
 			}
-			if a.asJSON {
+			if flags.printJSON {
 				fmt.Fprintln(c.OutOrStdout(), string(b))
 				return nil
 			}
 			if err := json.Unmarshal(b, &l); err != nil {
-				return fmt.Errorf("the answer makes no sense: %w", err)
+				return fmt.Errorf("malformed answer: %w", err)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 8, 2, ' ', 0)
 			fmt.Fprintln(w, "RESOURCE\tCOUNT\tUSED\tOUTSIDE\tFREE\tJOBS\tWAITING\tWAIT P50\tP99\t")
 			for _, u := range l.Units {
-				row(w, &u)
+				printUnitsRow(w, &u)
 			}
 			if l.More > 0 {
 				fmt.Fprintf(w, "and %d more\n", l.More)
@@ -97,7 +100,7 @@
 		}})
 }
 
-func row(w io.Writer, u *wire.UnitsView) {
+func printUnitsRow(w io.Writer, u *wire.UnitsView) {
 	note := u.Trouble
 	if u.Removed {
 		note = "removed"
@@ -110,35 +113,35 @@
 }
 
 func unitsShow() *cobra.Command {
-	var a asker
-	return a.flags(&cobra.Command{
-		Use: "show RESOURCE", Short: "who holds units of a resource, since when, and until what",
-		Args: resource("units show takes one resource"),
+	var flags clientFlags
+	return flags.register(&cobra.Command{
+		Use: "show RESOURCE", Short: "show who holds units of a resource, for how long, and when they are released",
+		Args: resourceArg("units show takes one resource"),
 		RunE: func(c *cobra.Command, args []string) error {
 			var u wire.UnitsView
-			b, err := a.leaders(wire.PathUnits+"/"+args[0], func(b []byte) bool { return json.Unmarshal(b, &u) == nil && u.Live != nil })
+			b, err := flags.requestLeader(wire.PathUnits+"/"+args[0], func(b []byte) bool { return json.Unmarshal(b, &u) == nil && u.Live != nil })
 			if err != nil {
 				return err
 			}
-			return a.units(c.OutOrStdout(), b)
+			return flags.printUnits(c.OutOrStdout(), b)
 		}})
 }
 
-// units shows a resource.
-func (a *asker) units(out io.Writer, b []byte) error {
-	if a.asJSON {
+// printUnits prints a resource and its holders.
+func (flags *clientFlags) printUnits(out io.Writer, b []byte) error {
+	if flags.printJSON {
 		fmt.Fprintln(out, string(b))
 		return nil
 	}
 	var u wire.UnitsView
 	if err := json.Unmarshal(b, &u); err != nil {
-		return fmt.Errorf("the answer makes no sense: %w", err)
+		return fmt.Errorf("malformed answer: %w", err)
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "RESOURCE\tCOUNT\tUSED\tOUTSIDE\tFREE\tJOBS\tWAITING\tWAIT P50\tP99\t")
-	row(w, &u)
+	printUnitsRow(w, &u)
 	for t, p := range u.Teams {
-		fmt.Fprintf(w, "team %s: share %d, at most %s\n", t, p.Share, none(float64(p.Most)))
+		fmt.Fprintf(w, "team %s: share %d, at most %s\n", t, p.Share, formatLimit(float64(p.Most)))
 	}
 	for p, n := range u.Reserve {
 		fmt.Fprintf(w, "%d kept for priority %s and above\n", n, p)
@@ -151,11 +154,11 @@
 		fmt.Fprintln(w, "\nUNITS\tHOLDER\tATTEMPT\tMACHINE\tFOR\tFREE WHEN")
 	}
 	for _, h := range u.Live.Holders {
-		who := fmt.Sprintf("%s/%d", h.Job, h.Task)
+		holder := fmt.Sprintf("%s/%d", h.Job, h.Task)
 		if h.Task < 0 {
-			who = h.Job + " (the whole job)"
+			holder = h.Job + " (the whole job)"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%.0f s\t%s\n", h.Units, who, h.Attempt, h.Machine, h.ForS, h.Until)
+		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%.0f s\t%s\n", h.Units, holder, h.Attempt, h.Machine, h.ForS, h.Until)
 	}
 	if u.Live.More > 0 {
 		fmt.Fprintf(w, "and %d more\n", u.Live.More)
@@ -164,31 +167,31 @@
 }
 
 func unitsSet() *cobra.Command {
-	var a asker
+	var flags clientFlags
 	var external int
-	var shed bool
+	var stopExcess bool
 	var teams, reserve []string
-	c := a.flags(&cobra.Command{
+	c := flags.register(&cobra.Command{
 		Use: "set RESOURCE [COUNT]", Short: "declare a resource, or change its count, limits and reserves",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 || len(args) > 2 {
 				return usageError{errors.New("units set takes a resource and, if it is to change, a count")}
 			}
-			return resource("")(c, args[:1])
+			return resourceArg("")(c, args[:1])
 		},
 		RunE: func(c *cobra.Command, args []string) error {
-			body := map[string]any{"by": whoami()}
+			body := map[string]any{"by": currentUser()}
 			if len(args) == 2 {
 				n, err := strconv.Atoi(args[1])
 				if err != nil || n < 0 {
-					return usageError{fmt.Errorf("%q is no count", args[1])}
+					return usageError{fmt.Errorf("%q is not a valid count", args[1])}
 				}
 				body["count"] = n
 			}
 			if c.Flags().Changed("external") {
 				body["external"] = external
 			}
-			if shed {
+			if stopExcess {
 				body["shed"] = true
 			}
 			if len(teams) > 0 {
@@ -221,29 +224,29 @@
 				}
 				body["reserve"] = m
 			}
-			b, err := a.ask("POST", wire.PathUnits+"/"+args[0], wire.Encode(body))
+			b, err := flags.request("POST", wire.PathUnits+"/"+args[0], wire.Encode(body))
 			if err != nil {
 				return err
 			}
-			return a.units(c.OutOrStdout(), b)
+			return flags.printUnits(c.OutOrStdout(), b)
 		}})
-	c.Flags().IntVar(&external, "external", 0, "units that are taken outside")
-	c.Flags().BoolVar(&shed, "stop", false, "stop what exceeds the new count")
-	c.Flags().StringArrayVar(&teams, "team", nil, "TEAM:SHARE or TEAM:SHARE:MOST; all teams' parts are set together")
-	c.Flags().StringArrayVar(&reserve, "reserve", nil, "PRIORITY:UNITS, only for that priority (low, normal, high, production) and above")
+	c.Flags().IntVar(&external, "external", 0, "units in use outside the cluster")
+	c.Flags().BoolVar(&stopExcess, "stop", false, "stop tasks whose units exceed the new count")
+	c.Flags().StringArrayVar(&teams, "team", nil, "TEAM:SHARE or TEAM:SHARE:MOST; replaces the settings of all teams")
+	c.Flags().StringArrayVar(&reserve, "reserve", nil, "PRIORITY:UNITS, reserved for that priority (low, normal, high, production) and above")
 	return c
 }
 
 func unitsRemove() *cobra.Command {
-	var a asker
-	return a.flags(&cobra.Command{
+	var flags clientFlags
+	return flags.register(&cobra.Command{
 		Use: "remove RESOURCE", Short: "remove a resource; jobs that ask for it wait",
-		Args: resource("units remove takes one resource"),
+		Args: resourceArg("units remove takes one resource"),
 		RunE: func(c *cobra.Command, args []string) error {
-			b, err := a.ask("POST", wire.PathUnits+"/"+args[0]+"/"+wire.VerbRemove, wire.Encode(wire.RequestInfo{By: whoami()}))
+			b, err := flags.request("POST", wire.PathUnits+"/"+args[0]+"/"+wire.VerbRemove, wire.Encode(wire.RequestInfo{By: currentUser()}))
 			if err != nil {
 				return err
 			}
-			return a.units(c.OutOrStdout(), b)
+			return flags.printUnits(c.OutOrStdout(), b)
 		}})
 }
--- a/cmd/brooklb/user.go
+++ b/cmd/brooklb/user.go
@@ -16,38 +16,39 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit statuses beside 0 (done), 1 (no answer, other failures) and 2 (usage).
+// Exit statuses besides 0 (success), 1 (no answer, other failures) and 2 (usage).
 const (
-	exitUnknown = 3 // no such job
-	exitInvalid = 4 // the request is malformed, can never succeed, or not now
+	exitUnknown = 3 // not found
+	exitInvalid = 4 // the request is malformed, can never succeed or conflicts with the current state
 )
 
-// exitError ends the program with a status of its own.
+// exitError makes the program exit with its status.
 type exitError struct {
 	status int
 	error
 }
 
-type asker struct {
-	nodes    string
-	patience time.Duration
-	asJSON   bool
+// clientFlags are the flags of the commands that send requests to the service.
+type clientFlags struct {
+	nodes     string
+	patience  time.Duration
+	printJSON bool
 }
 
-func (a *asker) flags(c *cobra.Command) *cobra.Command {
-	c.Flags().StringVar(&a.nodes, "to", "127.0.0.1:8080", "addresses of the service's nodes, separated by commas")
-	c.Flags().DurationVar(&a.patience, "for", time.Minute, "how long to try again what is refused for now")
-	c.Flags().BoolVar(&a.asJSON, "json", false, "print the service's answer as it is")
+func (flags *clientFlags) register(c *cobra.Command) *cobra.Command {
+	c.Flags().StringVar(&flags.nodes, "to", "127.0.0.1:8080", "addresses of the service's nodes, separated by commas")
+	c.Flags().DurationVar(&flags.patience, "for", time.Minute, "how long to retry requests that fail or are refused temporarily")
+	c.Flags().BoolVar(&flags.printJSON, "json", false, "print the service's JSON answer")
 	return c
 }
 
-func (a *asker) client() *client.Client {
-	return &client.Client{Nodes: strings.Split(a.nodes, ","), RetryFor: a.patience}
+func (flags *clientFlags) client() *client.Client {
+	return &client.Client{Nodes: strings.Split(flags.nodes, ","), RetryFor: flags.patience}
 }
 
-// ask sends a request and turns its status into an error where it is one.
-func (a *asker) ask(method, path string, body []byte) ([]byte, error) {
-	status, b, err := a.client().Do(method, path, body)
+// request sends a request. It returns an error if the status is neither 200 nor 201.
+func (flags *clientFlags) request(method, path string, body []byte) ([]byte, error) {
+	status, b, err := flags.client().Do(method, path, body)
 	if err != nil {
 		return nil, err
 	}
@@ -70,19 +71,19 @@
 	return nil, errors.New(e.Error)
 }
 
-// job asks about one job and shows the answer.
-func (a *asker) job(w io.Writer, method, path string, body []byte) error {
-	b, err := a.ask(method, path, body)
+// requestJob sends a request about one job and prints the answer.
+func (flags *clientFlags) requestJob(w io.Writer, method, path string, body []byte) error {
+	b, err := flags.request(method, path, body)
 	if err != nil {
 		return err
 	}
-	if a.asJSON {
+	if flags.printJSON {
 		fmt.Fprintln(w, string(b))
 		return nil
 	}
 	var s wire.JobState
 	if err := json.Unmarshal(b, &s); err != nil {
-		return fmt.Errorf("the answer makes no sense: %w", err)
+		return fmt.Errorf("malformed answer: %w", err)
 	}
 	fmt.Fprintf(w, "%s: %s", s.Ref, s.Phase)
 	if s.Done != nil && s.Running != nil {
@@ -95,22 +96,23 @@
 	return nil
 }
 
-func exactly(n int, what string) cobra.PositionalArgs {
+// jobArgs checks that there are n arguments, all of them job ids.
+func jobArgs(n int, what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
 			return usageError{fmt.Errorf("%s", what)}
 		}
 		for _, id := range args {
 			if !wire.ValidJobID(id) {
-				return usageError{fmt.Errorf("%q is no job id", id)}
+				return usageError{fmt.Errorf("%q is not a job id", id)}
 			}
 		}
 		return nil
 	}
 }
 
-// read brings a file's content, or standard input's for "-".
-func read(c *cobra.Command, file string) ([]byte, error) {
+// readInput reads a file, or standard input if file is "-".
+func readInput(c *cobra.Command, file string) ([]byte, error) {
 	in := c.InOrStdin()
 	if file != "-" {
 		f, err := os.Open(file)
@@ -128,9 +130,9 @@
 }
 
 func userCommands() []*cobra.Command {
-	var submit, status, withdraw, overview asker
+	var submit, status, withdraw, overview clientFlags
 	return []*cobra.Command{
-		submit.flags(&cobra.Command{
+		submit.register(&cobra.Command{
 			Use: "submit FILE", Short: "submit a job, described in JSON in a file or on standard input (-)",
 			Args: func(_ *cobra.Command, args []string) error {
 				if len(args) != 1 {
@@ -139,49 +141,50 @@
 				return nil
 			},
 			RunE: func(c *cobra.Command, args []string) error {
-				body, err := read(c, args[0])
+				body, err := readInput(c, args[0])
 				if err != nil {
 					return err
 				}
 				if _, err := wire.DecodeJob(body); err != nil {
 					return exitError{exitInvalid, fmt.Errorf("%s: %w", args[0], err)}
 				}
-				return submit.job(c.OutOrStdout(), "POST", wire.PathJobs, body)
+				return submit.requestJob(c.OutOrStdout(), "POST", wire.PathJobs, body)
 			}}),
-		status.flags(&cobra.Command{
-			Use: "status JOB", Short: "how a job stands, and why it waits or was stopped",
-			Args: exactly(1, "status takes one job id"),
+		status.register(&cobra.Command{
+			Use: "status JOB", Short: "show a job's state, and why it waits or was stopped",
+			Args: jobArgs(1, "status takes one job id"),
 			RunE: func(c *cobra.Command, args []string) error {
-				return status.job(c.OutOrStdout(), "GET", wire.PathJobs+"/"+args[0], nil)
+				return status.requestJob(c.OutOrStdout(), "GET", wire.PathJobs+"/"+args[0], nil)
 			}}),
-		withdraw.flags(&cobra.Command{
+		withdraw.register(&cobra.Command{
 			Use: "withdraw JOB", Short: "cancel a job", Aliases: []string{"cancel"},
-			Args: exactly(1, "withdraw takes one job id"),
+			Args: jobArgs(1, "withdraw takes one job id"),
 			RunE: func(c *cobra.Command, args []string) error {
-				return withdraw.job(c.OutOrStdout(), "POST", wire.PathJobs+"/"+args[0]+"/"+wire.PathWithdraw, nil)
+				return withdraw.requestJob(c.OutOrStdout(), "POST", wire.PathJobs+"/"+args[0]+"/"+wire.PathWithdraw, nil)
 			}}),
-		overview.flags(&cobra.Command{
-			Use: "overview", Short: "nodes, machines, teams and the queue",
+		overview.register(&cobra.Command{
+			Use: "overview", Short: "show nodes, machines, teams and the queue",
 			Args: func(_ *cobra.Command, args []string) error {
 				if len(args) > 0 {
 					return usageError{errors.New("overview takes no arguments")}
 				}
 				return nil
 			},
-			RunE: func(c *cobra.Command, _ []string) error { return overview.overview(c.OutOrStdout()) }}),
+			RunE: func(c *cobra.Command, _ []string) error { return overview.printOverview(c.OutOrStdout()) }}),
 	}
 }
 
-// overview asks all nodes: each knows how it stands itself, the leader the rest.
-func (a *asker) overview(out io.Writer) error {
+// printOverview prints the state of the cluster. It asks all nodes, because each knows
+// only its own state; the leader also knows the machines, teams and jobs.
+func (flags *clientFlags) printOverview(out io.Writer) error {
 	var last error
 	answered := 0
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	if !a.asJSON {
+	if !flags.printJSON {
 		fmt.Fprintln(w, "NODE\tHEALTHY\tLEADS\tTOKEN\tFOR\tSTATE SERVICE SILENT\tCHANGES/S\tSUBMITTED/S\tACCEPTED/S\tREFUSED")
 	}
 	var leading *wire.Overview
-	a.client().GetFromEachNode(wire.PathOverview, func(node string, status int, b []byte, err error) {
+	flags.client().GetFromEachNode(wire.PathOverview, func(node string, status int, b []byte, err error) {
 		var o wire.Overview
 		if err == nil && status != 200 {
 			err = fmt.Errorf("status %d", status)
@@ -191,18 +194,18 @@
 		}
 		if err != nil {
 			last = fmt.Errorf("%s: %w", node, err)
-			if !a.asJSON {
+			if !flags.printJSON {
 				fmt.Fprintf(w, "%s\t%v\n", node, err)
 			}
 			return
 		}
 		answered++
-		if a.asJSON {
+		if flags.printJSON {
 			fmt.Fprintln(out, string(b))
 			return
 		}
 		d := o.Admission
-		if d == nil { // an older program
+		if d == nil { // the node runs an older version
 			d = &wire.AdmissionView{}
 		}
 		fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%.0f s\t%.1f s\t%.1f\t%.1f\t%.1f\t%d\n", o.Node, o.Healthy, o.Leading, o.Token, o.LedS, o.StateSilentS,
@@ -221,7 +224,7 @@
 			m.Running, m.Fetching, m.Waiting, m.Saving, m.Room)
 		fmt.Fprintf(w, "\nTEAM\tCPUS\tGUARANTEE\tLIMIT\tGPUS\tGUARANTEE\tLIMIT\n")
 		for _, t := range o.Teams {
-			fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%g\t%s\t%s\n", t.Name, t.CPUs, none(t.GuaranteedCPUs), none(t.MaxCPUs), t.GPUs, none(t.GuaranteedGPUs), none(t.MaxGPUs))
+			fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%g\t%s\t%s\n", t.Name, t.CPUs, formatLimit(t.GuaranteedCPUs), formatLimit(t.MaxCPUs), t.GPUs, formatLimit(t.GuaranteedGPUs), formatLimit(t.MaxGPUs))
 		}
 		fmt.Fprintf(w, "\nCLASS\tTEAM\tJOBS\tWITHIN FLOOR\tTASKS WAITING\tPLACED\n")
 		for _, c := range o.Classes {
@@ -241,7 +244,8 @@
 	return w.Flush()
 }
 
-func none(x float64) string {
+// formatLimit formats a guarantee or limit; 0 means that there is none.
+func formatLimit(x float64) string {
 	if x <= 0 {
 		return "none"
 	}
--- a/cmd/brooklb/user_test.go
+++ b/cmd/brooklb/user_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestCommands runs the command line against a service that answers as
-// documented, and checks what is printed and the exit status.
+// TestCommands runs the command line against a test server and checks the output and the
+// exit status.
 func TestCommands(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := func(status int, body string) {
@@ -115,10 +115,10 @@
 		{args: []string{"dev", "--faults=/no/such/file", "--for=1s"}, status: 1},
 	} {
 		var out bytes.Buffer
-		r := root()
+		r := rootCommand()
 		r.SetIn(strings.NewReader(c.in))
 		r.SetOut(&out)
-		err := run(r, c.args)
+		err := execute(r, c.args)
 		if got := exitStatus(err); got != c.status || !strings.Contains(out.String(), c.want) {
 			t.Errorf("%v: status %d (%v), %q, want %d, %q", c.args, got, err, out.String(), c.status, c.want)
 		}
--- a/internal/dev/access.go
+++ b/internal/dev/access.go
@@ -11,13 +11,14 @@
 // Process is a controller's process.
 type Process struct {
 	Label string
-	PID   int // 0: it is not there now
+	PID   int // 0 if the process is not running
 }
 
-// World is the stand-ins' world; only what runs on its thread may use it.
+// World returns the simulator. Only code on the simulator's goroutine may use it.
 func (c *Cluster) World() *sim.World { return c.world }
 
-// Do runs f on the stand-ins' thread and waits; false: the cluster has ended.
+// Do runs f on the simulator's goroutine and waits for it. It returns false if the
+// cluster has ended.
 func (c *Cluster) Do(f func(w *sim.World)) bool {
 	done := make(chan struct{})
 	c.post(func() {
@@ -32,19 +33,20 @@
 	}
 }
 
-// Traffic counts what goes over the interfaces.
+// Traffic returns the message and byte counters of the interfaces.
 func (c *Cluster) Traffic() *Traffic { return c.traffic }
 
-// Lag is how late the stand-ins' events are, in microseconds; for their thread.
+// Lag returns the delays of simulated events in microseconds. Call it only on the
+// simulator's goroutine.
 func (c *Cluster) Lag() *hdrhistogram.Histogram { return c.lag }
 
-// Processes lists the controllers; for the stand-ins' thread.
+// Processes lists the controllers' processes. Call it only on the simulator's goroutine.
 func (c *Cluster) Processes() []Process {
 	var out []Process
-	for _, k := range c.nodes {
-		p := Process{Label: k.set.Label}
+	for _, k := range c.controllers {
+		p := Process{Label: k.settings.Label}
 		select {
-		case <-k.gone:
+		case <-k.exited:
 		default:
 			p.PID = k.cmd.Process.Pid
 		}
@@ -53,10 +55,11 @@
 	return out
 }
 
-// Crash kills a controller, which is back after d; for the stand-ins' thread.
+// Crash kills a controller and restarts it after d. Call it only on the simulator's
+// goroutine.
 func (c *Cluster) Crash(label string, d time.Duration) {
-	for _, k := range c.nodes {
-		if k.set.Label == label {
+	for _, k := range c.controllers {
+		if k.settings.Label == label {
 			k.crash(d)
 		}
 	}
--- a/internal/dev/controllers.go
+++ b/internal/dev/controllers.go
@@ -13,100 +13,102 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// controller is one controller's process.
+// controller manages the process of one controller.
 type controller struct {
-	c    *Cluster
-	i    int
-	set  *settings.Settings
-	file string
-	cmd  *exec.Cmd
-	gone chan struct{} // closed when the process has ended
-	gen  int
+	cluster      *Cluster
+	index        int
+	settings     *settings.Settings
+	settingsFile string
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has exited
+	generation   int           // increases with each start and kill
 }
 
-// write makes the settings file, as the platform would.
-func (k *controller) write() error {
-	b, err := toml.Marshal(k.set)
+// writeSettings writes the settings file that the platform provides in production.
+func (k *controller) writeSettings() error {
+	b, err := toml.Marshal(k.settings)
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", k.set.Label, err)
+		return fmt.Errorf("settings of %s: %w", k.settings.Label, err)
 	}
-	k.file = filepath.Join(k.c.cfg.Dir, k.set.Label+".toml")
-	return os.WriteFile(k.file, b, 0o600)
+	k.settingsFile = filepath.Join(k.cluster.cfg.Dir, k.settings.Label+".toml")
+	return os.WriteFile(k.settingsFile, b, 0o600)
 }
 
-// launch starts the process; when it ends by itself it is started again.
-func (k *controller) launch() error {
-	log, err := os.OpenFile(filepath.Join(k.c.cfg.Dir, k.set.Label+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+// start starts the process. If the process exits unexpectedly, it is restarted after 2 s.
+func (k *controller) start() error {
+	log, err := os.OpenFile(filepath.Join(k.cluster.cfg.Dir, k.settings.Label+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the process has its own
-	k.gen++
-	gen := k.gen
-	k.cmd = k.c.cfg.Controller(k.file)
+	defer log.Close() // the process has its own descriptor
+	k.generation++
+	generation := k.generation
+	k.cmd = k.cluster.cfg.ControllerCommand(k.settingsFile)
 	k.cmd.Stdout, k.cmd.Stderr = log, log
-	// If we are killed, it ends, too.
+	// The controller must not outlive this process.
 	k.cmd.SysProcAttr = dieWithParent()
 	if err := k.cmd.Start(); err != nil {
-		return fmt.Errorf("controller %s: %w", k.set.Label, err)
+		return fmt.Errorf("controller %s: %w", k.settings.Label, err)
 	}
-	k.c.world.SetUp(k.i, true)
-	gone := make(chan struct{})
-	k.gone = gone
+	k.cluster.world.SetUp(k.index, true)
+	exited := make(chan struct{})
+	k.exited = exited
 	cmd := k.cmd
 	go func() {
 		err := cmd.Wait()
-		close(gone)
-		k.c.post(func() {
-			k.c.world.SetUp(k.i, false)
-			if gen == k.gen && !k.c.over {
-				k.c.cfg.Log.Error("a controller has ended by itself", "node", k.set.Label, "err", err)
-				k.c.world.At(k.c.world.Now()+2*time.Second, k.again(gen))
+		close(exited)
+		k.cluster.post(func() {
+			k.cluster.world.SetUp(k.index, false)
+			if generation == k.generation && !k.cluster.ended {
+				k.cluster.cfg.Log.Error("controller exited unexpectedly", "node", k.settings.Label, "err", err)
+				k.cluster.world.At(k.cluster.world.Now()+2*time.Second, k.restart(generation))
 			}
 		})
 	}()
 	return nil
 }
 
-func (k *controller) again(gen int) func() {
+// restart returns a function that starts the process, unless it was started or killed
+// since the given generation or the cluster has ended.
+func (k *controller) restart(generation int) func() {
 	return func() {
-		if gen != k.gen || k.c.over {
+		if generation != k.generation || k.cluster.ended {
 			return
 		}
-		if err := k.launch(); err != nil {
-			k.c.cfg.Log.Error("a controller can't be started again", "node", k.set.Label, "err", err)
+		if err := k.start(); err != nil {
+			k.cluster.cfg.Log.Error("controller can't be restarted", "node", k.settings.Label, "err", err)
 		}
 	}
 }
 
-// crash kills the process without a signal that it could hear; it is back after d.
+// crash kills the process without a chance to clean up and restarts it after d.
 func (k *controller) crash(d time.Duration) {
 	k.kill()
-	k.c.world.SetUp(k.i, false)
-	k.c.world.At(k.c.world.Now()+d, k.again(k.gen))
+	k.cluster.world.SetUp(k.index, false)
+	k.cluster.world.At(k.cluster.world.Now()+d, k.restart(k.generation))
 }
 
 func (k *controller) kill() {
-	k.gen++
+	k.generation++
 	if k.cmd == nil || k.cmd.Process == nil {
 		return
 	}
 	select {
-	case <-k.gone:
+	case <-k.exited:
 	default:
 		_ = k.cmd.Process.Kill()
-		<-k.gone
+		<-k.exited
 	}
 }
 
-// freeze has the process be paused while its clocks run on.
+// freeze stops the process for d, during which its clocks go on.
 func (k *controller) freeze(d time.Duration) {
-	gen, p := k.gen, k.cmd.Process
+	generation, p := k.generation, k.cmd.Process
 	if p.Signal(syscall.SIGSTOP) != nil {
 		return
 	}
-	k.c.world.At(k.c.world.Now()+d, func() {
-		if gen == k.gen {
+	k.cluster.world.At(k.cluster.world.Now()+d, func() {
+		if generation == k.generation {
 			_ = p.Signal(syscall.SIGCONT)
 		}
 	})
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,7 +1,7 @@
-// Package dev runs a whole cluster on one computer: controllers as processes of
-// this program, on loopback sockets, and the simulator's own stand-ins for the
-// state service, the cloud, workers and users, in real time. Machines and images
-// are simulated; tasks are waits, instances of services are small HTTP servers.
+// Package dev runs a whole cluster on one computer in real time. The controllers
+// are processes of this program that use loopback sockets. The simulator provides
+// the state service, the cloud, the workers and the users. Machines and images are
+// simulated, a task only waits, and an instance of a service is a small HTTP server.
 package dev
 
 import (
@@ -22,66 +22,68 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Config of a cluster.
+// Config describes a cluster.
 type Config struct {
-	Controllers int
-	Machines    int // the cloud has in each zone, of each kind
-	Initial     int // up at the start
-	BootS       float64
-	Seed        uint64
-	Front       string // address where users submit
-	Dir         string // settings and logs of the controllers
-	Faults      *Faults
-	Users       int           // jobs that stand-in users submit
-	For         time.Duration // the cluster ends by itself
-	// World replaces the stand-ins' small cluster; nil: the one that Machines, Initial,
-	// BootS and Seed describe.
-	World *sim.Config
-	// Network has distances between places, nil: everything is near.
+	Controllers      int
+	Machines         int // machines that the cloud has in each zone, of each kind
+	Initial          int // machines that are up at the start
+	BootS            float64
+	Seed             uint64
+	LoadBalancerAddr string // address to which users submit jobs
+	Dir              string // directory for the settings and logs of the controllers
+	Faults           *Faults
+	UserJobs         int           // jobs that the simulated users submit
+	Duration         time.Duration // the cluster stops after this time
+	// Simulation configures the simulator. If it is nil, Run uses a small cluster with
+	// Machines, Initial, BootS and Seed.
+	Simulation *sim.Config
+	// Network has the network delays between places; nil means no delays.
 	Network *Network
-	// Started hears of the cluster once its controllers are started, on the stand-ins' thread.
+	// Started is called on the simulator's goroutine once the controllers are started.
 	Started func(c *Cluster)
-	// Controller makes the command of a controller with the settings file.
-	Controller func(settingsFile string) *exec.Cmd
-	// Work is done beside the cluster, which ends when it returns; nil: none.
+	// ControllerCommand returns the command that runs a controller with the settings file.
+	ControllerCommand func(settingsFile string) *exec.Cmd
+	// Work runs concurrently with the cluster, which stops when Work returns; nil
+	// means no work.
 	Work func(ctx context.Context) error
-	Out  io.Writer // what a person is told
+	Out  io.Writer // receives the progress messages for the user
 	Log  *slog.Logger
 }
 
-// Zones of the simulated cloud.
+// zones are the zones of the simulated cloud.
 var zones = []string{"a", "b", "c"}
 
-// Teams there are; the others borrow what blue and red don't use.
+// teams are the configured teams. Team free has no guarantee and uses what red and
+// blue leave over.
 var teams = []settings.Team{{Name: "red", CPUs: 32, CPUsMax: 96}, {Name: "blue", CPUs: 32}, {Name: "free"}}
 
-// Cluster is a running one.
+// Cluster is a running cluster.
 type Cluster struct {
-	cfg   Config
-	world *sim.World
-	start time.Time
-	posts chan func()
-	done  chan struct{}
-	net   string
-	ears  map[string]io.Closer // listeners, by what for
-	nodes []*controller
-	front int // the controller asked last
-	over  bool
-	// traffic counts what goes over each interface, links are the workers' connections,
-	// network carries what controllers say to each other (Config.Network).
-	traffic *Traffic
-	links   map[string]*workerLink
-	network *peerNetwork
-	users   *http.Client
-	lag     *hdrhistogram.Histogram // how late the stand-ins' events are, in microseconds
+	cfg         Config
+	world       *sim.World
+	start       time.Time
+	posts       chan func()
+	done        chan struct{}
+	loopbackNet string
+	servers     map[string]io.Closer // HTTP servers by the name of the simulated service
+	controllers []*controller
+	lastAsked   int // index of the controller that got the last request from the load balancer
+	ended       bool
+	// traffic counts the messages and bytes on each interface. links are the workers'
+	// connections. network carries the traffic between controllers if Config.Network is set.
+	traffic  *Traffic
+	links    map[string]*workerLink
+	network  *peerNetwork
+	userHTTP *http.Client
+	lag      *hdrhistogram.Histogram // delay of simulated events in microseconds
 }
 
-// errNet says that no part of the loopback network is free.
-var errNet = errors.New("no addresses on the loopback network are free (127.20.0.0 to 127.250.0.0): is the system Linux?")
+// errNoLoopbackNet means that no part of the loopback network is free.
+var errNoLoopbackNet = errors.New("no addresses on the loopback network are free (127.20.0.0 to 127.250.0.0): is the system Linux?")
 
-// freeNet finds a part of the loopback network that nobody uses, so that several
-// clusters can run side by side.
-func freeNet() (string, error) {
+// freeLoopbackNet returns the prefix of an unused part of the loopback network, so that
+// several clusters can run at the same time.
+func freeLoopbackNet() (string, error) {
 	for i := 20; i <= 250; i++ {
 		n := fmt.Sprintf("127.%d", i)
 		ln, err := net.Listen("tcp4", n+".1.1:2379")
@@ -89,31 +91,32 @@
 			return n, ln.Close()
 		}
 	}
-	return "", errNet
+	return "", errNoLoopbackNet
 }
 
-// onCluster hears of a cluster that runs, in tests.
-var onCluster func(c *Cluster)
+// onClusterStart is called with each started cluster; only tests set it.
+var onClusterStart func(c *Cluster)
 
-// Run runs a cluster until ctx ends or its time is over. It returns an error if it
-// can't start or if a rule of the protocol was broken.
+// Run runs a cluster until ctx ends, cfg.Duration has passed or cfg.Work returns. It
+// returns an error if the cluster can't start, if cfg.Work fails or, unless cfg.Started
+// is set, if a rule of the protocol was broken.
 func Run(ctx context.Context, cfg Config) error {
-	n, err := freeNet()
+	loopbackNet, err := freeLoopbackNet()
 	if err != nil {
 		return err
 	}
-	c := &Cluster{cfg: cfg, start: time.Now(), posts: make(chan func(), 4096), done: make(chan struct{}), net: n, ears: map[string]io.Closer{},
+	c := &Cluster{cfg: cfg, start: time.Now(), posts: make(chan func(), 4096), done: make(chan struct{}), loopbackNet: loopbackNet, servers: map[string]io.Closer{},
 		traffic: newTraffic(), links: map[string]*workerLink{}, lag: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	world := cfg.World
-	if world == nil {
-		world = &sim.Config{Seed: cfg.Seed, Zones: zones, Teams: teams, Capacity: cfg.Machines, Initial: cfg.Initial, CPUs: 16, GPUs: 4, BootS: cfg.BootS,
+	simulation := cfg.Simulation
+	if simulation == nil {
+		simulation = &sim.Config{Seed: cfg.Seed, Zones: zones, Teams: teams, Capacity: cfg.Machines, Initial: cfg.Initial, CPUs: 16, GPUs: 4, BootS: cfg.BootS,
 			Objectives: []settings.Objective{{Kind: "wait", Class: "c-ensemble", WithinS: 30, Share: 0.9}}}
 	}
-	world.Nodes, world.Outside, world.Net, world.Log = cfg.Controllers, c, n, cfg.Log
-	c.world = sim.New(*world)
-	c.users = c.userClient()
-	defer c.end()
-	if err := c.open(); err != nil {
+	simulation.Nodes, simulation.Outside, simulation.Net, simulation.Log = cfg.Controllers, c, loopbackNet, cfg.Log
+	c.world = sim.New(*simulation)
+	c.userHTTP = c.userClient()
+	defer c.shutDown()
+	if err := c.openServers(); err != nil {
 		return err
 	}
 	if cfg.Network != nil {
@@ -122,28 +125,28 @@
 		}
 	}
 	for i, s := range c.world.Set {
-		k := &controller{c: c, i: i, set: s}
-		c.nodes = append(c.nodes, k)
-		if err := k.write(); err != nil {
+		k := &controller{cluster: c, index: i, settings: s}
+		c.controllers = append(c.controllers, k)
+		if err := k.writeSettings(); err != nil {
 			return err
 		}
-		if err := k.launch(); err != nil {
+		if err := k.start(); err != nil {
 			return err
 		}
 	}
-	if cfg.Users > 0 {
-		c.world.Workload(cfg.Users, cfg.For/2)
+	if cfg.UserJobs > 0 {
+		c.world.Workload(cfg.UserJobs, cfg.Duration/2)
 	}
-	if onCluster != nil {
-		onCluster(c)
+	if onClusterStart != nil {
+		onClusterStart(c)
 	}
-	c.plan()
+	c.scheduleFaults()
 	if cfg.Started != nil {
 		cfg.Started(c)
 	} else {
-		c.welcome()
+		c.printIntroduction()
 	}
-	ctx, stop := context.WithTimeout(ctx, cfg.For)
+	ctx, stop := context.WithTimeout(ctx, cfg.Duration)
 	defer stop()
 	worked := make(chan error, 1)
 	if cfg.Work != nil {
@@ -165,16 +168,16 @@
 	return <-worked
 }
 
-func (c *Cluster) welcome() {
-	fmt.Fprintf(c.cfg.Out, "a simulated cluster runs: %d controllers, a stand-in cloud with %d machines of 16 CPUs of each kind in zones a, b, c\n", len(c.nodes), c.cfg.Machines)
-	fmt.Fprintf(c.cfg.Out, "submit to %s (a stand-in load balancer, which takes the descriptions for the workers, too); controllers:", c.cfg.Front)
-	for _, k := range c.nodes {
-		fmt.Fprintf(c.cfg.Out, " %s", k.set.Bind)
+func (c *Cluster) printIntroduction() {
+	fmt.Fprintf(c.cfg.Out, "a simulated cluster runs: %d controllers, a stand-in cloud with %d machines of 16 CPUs of each kind in zones a, b, c\n", len(c.controllers), c.cfg.Machines)
+	fmt.Fprintf(c.cfg.Out, "submit to %s (a stand-in load balancer, which takes the descriptions for the workers, too); controllers:", c.cfg.LoadBalancerAddr)
+	for _, k := range c.controllers {
+		fmt.Fprintf(c.cfg.Out, " %s", k.settings.Bind)
 	}
-	fmt.Fprintf(c.cfg.Out, "\nlogs in %s; it ends after %v, or with Ctrl-C\n", c.cfg.Dir, c.cfg.For)
+	fmt.Fprintf(c.cfg.Out, "\nlogs in %s; it ends after %v, or with Ctrl-C\n", c.cfg.Dir, c.cfg.Duration)
 }
 
-// loop runs the stand-ins, one after the other, in real time.
+// loop runs the simulator in real time on the calling goroutine.
 func (c *Cluster) loop(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -198,7 +201,7 @@
 	}
 }
 
-// post has f run on the world's thread; it is dropped when the cluster has ended.
+// post queues f for the simulator's goroutine. It drops f if the cluster has ended.
 func (c *Cluster) post(f func()) {
 	select {
 	case c.posts <- f:
@@ -206,14 +209,14 @@
 	}
 }
 
-// end stops the controllers and closes all sockets.
-func (c *Cluster) end() {
+// shutDown kills the controllers and closes all sockets.
+func (c *Cluster) shutDown() {
 	close(c.done)
-	c.over = true
-	for _, k := range c.nodes {
+	c.ended = true
+	for _, k := range c.controllers {
 		k.kill()
 	}
-	for _, e := range c.ears {
+	for _, e := range c.servers {
 		_ = e.Close()
 	}
 	for _, l := range c.links {
@@ -224,5 +227,5 @@
 	}
 }
 
-// Dir makes a directory for a cluster's files.
-func Dir() (string, error) { return os.MkdirTemp("", "brooklb-dev-") }
+// MakeTempDir creates a temporary directory for a cluster's files.
+func MakeTempDir() (string, error) { return os.MkdirTemp("", "brooklb-dev-") }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -19,7 +19,7 @@
 	"brooklb/internal/client"
 )
 
-// TestMain lets the test's own program be the controllers' processes.
+// TestMain runs the test program as a controller if the environment names a settings file.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("BROOKLB_TEST_CONTROLLER"); file != "" {
 		s, err := brooklb.New(brooklb.Config{SettingsFile: file, Rollouts: true, Log: slog.New(slog.NewTextHandler(os.Stderr, nil))})
@@ -32,42 +32,42 @@
 	os.Exit(m.Run())
 }
 
-// lines collects what a person is told.
-type lines struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// outputBuffer collects a cluster's output from several goroutines.
+type outputBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *outputBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buffer.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *outputBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buffer.String()
 }
 
-// start runs a cluster with work beside it, and waits for its end.
-func start(t *testing.T, faults *Faults, work func(cl *client.Client) error) string {
+// runCluster runs a cluster until work returns, and returns the cluster's output.
+func runCluster(t *testing.T, faults *Faults, work func(cl *client.Client) error) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	front := ln.Addr().String()
+	loadBalancerAddr := ln.Addr().String()
 	ln.Close()
-	dir, out := t.TempDir(), &lines{}
-	err = Run(context.Background(), Config{Controllers: 3, Machines: 6, Initial: 6, BootS: 1, Seed: 5, Front: front, Dir: dir, Faults: faults, For: 90 * time.Second,
-		Out: out, Log: slog.New(slog.DiscardHandler), Controller: func(file string) *exec.Cmd {
+	dir, out := t.TempDir(), &outputBuffer{}
+	err = Run(context.Background(), Config{Controllers: 3, Machines: 6, Initial: 6, BootS: 1, Seed: 5, LoadBalancerAddr: loadBalancerAddr, Dir: dir, Faults: faults, Duration: 90 * time.Second,
+		Out: out, Log: slog.New(slog.DiscardHandler), ControllerCommand: func(file string) *exec.Cmd {
 			c := exec.Command(os.Args[0])
 			c.Env = append(os.Environ(), "BROOKLB_TEST_CONTROLLER="+file)
 			return c
 		},
 		Work: func(context.Context) error {
-			return work(&client.Client{Nodes: []string{front}, RetryFor: 20 * time.Second})
+			return work(&client.Client{Nodes: []string{loadBalancerAddr}, RetryFor: 20 * time.Second})
 		}})
 	if err != nil {
 		logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -80,10 +80,10 @@
 	return out.String()
 }
 
-const job = `{"ref":%q,"lane":"web","crew":"free","shape":"standing","urgency":"high","shards":4,"cpus":2.0,"gpus":0.0,"memory_gb":1.0,
+const jobFormat = `{"ref":%q,"lane":"web","crew":"free","shape":"standing","urgency":"high","shards":4,"cpus":2.0,"gpus":0.0,"memory_gb":1.0,
  "bundle":%q,"size_gb":0.1,"hulls":null,"yard":null,"same_place":false,"apart":false,"loaners":false,"expect_s":0.0,"snapshot_s":0.0,"stow_s":0.0}`
 
-type view struct {
+type serviceView struct {
 	Version string
 	Rollout *struct {
 		ID, State, Why string
@@ -95,27 +95,27 @@
 	}
 }
 
-// TestFailingVersionGoesBack is the users' proof, with processes, sockets and
-// instances that are real HTTP servers: a new version's instances report failure in
-// the middle of a roll-out, all controllers are killed at that moment, and yet no
-// further instance is replaced, and the old version comes back in whole.
+// TestFailingVersionGoesBack rolls out a version whose health checks start to fail during
+// the roll-out, and kills all controllers in the second step. No further instance may
+// be replaced, and all instances must go back to the old version. Controllers are real
+// processes and instances are real HTTP servers.
 func TestFailingVersionGoesBack(t *testing.T) {
 	var began time.Time
-	most, killed := 0, false
+	maxNew, killed := 0, false
 	faults := &Faults{}
 	var cluster *Cluster
-	onCluster = func(c *Cluster) { cluster = c }
-	defer func() { onCluster = nil }()
-	ask := func(cl *client.Client, method, path, body string) (int, view, error) {
+	onClusterStart = func(c *Cluster) { cluster = c }
+	defer func() { onClusterStart = nil }()
+	ask := func(cl *client.Client, method, path, body string) (int, serviceView, error) {
 		status, b, err := cl.Do(method, path, []byte(body))
-		var v view
+		var v serviceView
 		if err == nil && json.Unmarshal(b, &v) != nil {
 			err = fmt.Errorf("%s %s: %d %s", method, path, status, b)
 		}
 		return status, v, err
 	}
-	out := start(t, faults, func(cl *client.Client) error {
-		if status, _, err := ask(cl, "POST", "/v2/runs", fmt.Sprintf(job, "j-1", "web:good")); err != nil || status != 201 {
+	out := runCluster(t, faults, func(cl *client.Client) error {
+		if status, _, err := ask(cl, "POST", "/v2/runs", fmt.Sprintf(jobFormat, "j-1", "web:good")); err != nil || status != 201 {
 			return fmt.Errorf("submission: %d %w", status, err)
 		}
 		for {
@@ -128,14 +128,14 @@
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		time.Sleep(9 * time.Second) // instances are checked on machines that the cloud has listed, which takes that long
+		time.Sleep(9 * time.Second) // controllers check instances only on machines that the cloud has listed, which takes this long
 		body := fmt.Sprintf(`{"from":"j-1","job":%s,"steps":[1,2],"surge":1,"bake_s":9,"window_s":9,
-			"health":{"port":9200,"per_task":true,"path":"/healthz","interval_s":0.5,"timeout_s":0.4,"passes":2,"fails":3}}`, fmt.Sprintf(job, "j-2", "web:late=20"))
+			"health":{"port":9200,"per_task":true,"path":"/healthz","interval_s":0.5,"timeout_s":0.4,"passes":2,"fails":3}}`, fmt.Sprintf(jobFormat, "j-2", "web:late=20"))
 		if status, v, err := ask(cl, "POST", "/services/web/rollouts", body); err != nil || status != 201 {
 			return fmt.Errorf("roll-out: %d %+v %w", status, v, err)
 		}
 		if status, _, err := ask(cl, "POST", "/services/web/rollouts", strings.Replace(body, "j-2", "j-3", 1)); err != nil || status != 409 {
-			return fmt.Errorf("a second roll-out got %d %w", status, err)
+			return fmt.Errorf("second roll-out: got status %d, want 409: %w", status, err)
 		}
 		began = time.Now()
 		for time.Since(began) < 60*time.Second {
@@ -146,10 +146,10 @@
 			if v.Rollout == nil {
 				break
 			}
-			most = max(most, v.Rollout.New)
+			maxNew = max(maxNew, v.Rollout.New)
 			if !killed && v.Rollout.Step >= 2 {
 				killed = true
-				cluster.post(func() { cluster.play(Fault{Kind: "crash_all", Node: -1, ForS: 1}) })
+				cluster.post(func() { cluster.inject(Fault{Kind: "crash_all", Node: -1, ForS: 1}) })
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -167,19 +167,19 @@
 		return nil
 	})
 	if !killed {
-		t.Error("the roll-out never came to its second step")
+		t.Error("the roll-out never reached its second step")
 	}
-	if most > 2 {
-		t.Errorf("%d of 4 instances were replaced, two were to be at that step", most)
+	if maxNew > 2 {
+		t.Errorf("%d of 4 instances were replaced, want at most 2 in step 2", maxNew)
 	}
 	if !strings.Contains(out, "rules broken: 0") {
 		t.Error(out)
 	}
-	t.Logf("rolled back %v after the roll-out began, %d new instances at most", time.Since(began).Round(time.Second), most)
+	t.Logf("rolled back %v after the roll-out began, %d new instances at most", time.Since(began).Round(time.Second), maxNew)
 }
 
-// TestFaults guards what a file of faults may say, and plays some on a cluster on
-// which users' jobs are all done in the end.
+// TestFaults checks that invalid fault files are rejected, and that all jobs finish on a
+// cluster with several injected faults.
 func TestFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "f.toml")
 	for _, c := range [][2]string{{"[[fault]]\nkind = \"quake\"\n", "fault[0].kind"}, {"[[fault]]\nkind = \"crash\"\nat_s = -1.0\n", "fault[0]"},
@@ -196,11 +196,11 @@
 	}
 	fs := &Faults{Fault: []Fault{{AtS: 4, Kind: "crash", Node: 0, ForS: 1}, {AtS: 6, Kind: "state_outage", ForS: 2}, {AtS: 9, Kind: "machine_die"},
 		{AtS: 10, Kind: "state_cut", Node: 1, ForS: 3}, {AtS: 11, Kind: "freeze", Node: 2, ForS: 2}}}
-	start(t, fs, func(cl *client.Client) error {
-		const task = `{"ref":"j-%d","lane":"w","crew":"free","shape":"sweep","urgency":"standard","shards":6,"cpus":4.0,"gpus":0.0,"memory_gb":1.0,
+	runCluster(t, fs, func(cl *client.Client) error {
+		const arrayJobFormat = `{"ref":"j-%d","lane":"w","crew":"free","shape":"sweep","urgency":"standard","shards":6,"cpus":4.0,"gpus":0.0,"memory_gb":1.0,
 			"bundle":"i","size_gb":0.1,"hulls":null,"yard":null,"same_place":false,"apart":false,"loaners":true,"expect_s":4.0,"snapshot_s":0.0,"stow_s":0.0}`
 		for i := range 5 {
-			if status, b, err := cl.Do("POST", "/v2/runs", fmt.Appendf(nil, task, i+1)); err != nil || status > 201 {
+			if status, b, err := cl.Do("POST", "/v2/runs", fmt.Appendf(nil, arrayJobFormat, i+1)); err != nil || status > 201 {
 				return fmt.Errorf("submission: %d %s %w", status, b, err)
 			}
 			time.Sleep(2 * time.Second)
--- a/internal/dev/faults.go
+++ b/internal/dev/faults.go
@@ -11,29 +11,30 @@
 	"brooklb/internal/settings"
 )
 
-// Faults is a file of troubles to play, at set times or from a seed.
+// Faults is a file of faults to inject, at given times or at random.
 type Faults struct {
 	Fault []Fault `toml:"fault"`
-	// Seed and EveryS draw troubles from a seed, one in every so many seconds.
+	// Seed is the seed of the random faults, EveryS is the mean time between them.
+	// There are none if EveryS is 0.
 	Seed   uint64  `toml:"seed"`
 	EveryS float64 `toml:"every_s"`
 }
 
-// Fault is one trouble.
+// Fault is one fault to inject.
 type Fault struct {
-	AtS   float64 `toml:"at_s"`
-	Kind  string  `toml:"kind"`
-	Node  int     `toml:"node"`  // a controller, from 0; -1 and for crash_all: all
-	ForS  float64 `toml:"for_s"` // until it is over, or the process is back
-	Hold  bool    `toml:"hold"`  // a cut holds packets instead of resetting connections
-	Times float64 `toml:"times"` // slow_boots: so many times as long
+	AtS        float64 `toml:"at_s"`
+	Kind       string  `toml:"kind"`
+	Node       int     `toml:"node"`  // index of a controller; -1 means all, which crash_all implies
+	ForS       float64 `toml:"for_s"` // duration of the fault, or time until the process restarts
+	Hold       bool    `toml:"hold"`  // a partition delays packets instead of resetting connections
+	BootFactor float64 `toml:"times"` // slow_boots: factor by which boots take longer
 }
 
-// The kinds of faults.
-var kinds = []string{"crash", "crash_all", "freeze", "state_outage", "state_refuses", "state_cut", "cloud_outage", "machine_die", "machine_hang", "slow_boots"}
+// faultKinds are the valid kinds of faults.
+var faultKinds = []string{"crash", "crash_all", "freeze", "state_outage", "state_refuses", "state_cut", "cloud_outage", "machine_die", "machine_hang", "slow_boots"}
 
-// LoadFaults reads and checks a file of faults; an error names the file, the field
-// and the reason.
+// LoadFaults reads and checks a file of faults. Its errors name the file, the field and
+// the reason.
 func LoadFaults(file string) (*Faults, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -43,12 +44,12 @@
 	if err := settings.Decode(file, b, &f); err != nil {
 		return nil, fmt.Errorf("faults: %w", err)
 	}
-	for i, x := range f.Fault {
+	for i, fault := range f.Fault {
 		switch {
-		case !slices.Contains(kinds, x.Kind):
-			return nil, fmt.Errorf("faults: %s: fault[%d].kind: %q is none of %s", file, i, x.Kind, strings.Join(kinds, ", "))
-		case !(x.AtS >= 0), !(x.ForS >= 0), !(x.Times >= 0):
-			return nil, fmt.Errorf("faults: %s: fault[%d]: times must be 0 or more", file, i)
+		case !slices.Contains(faultKinds, fault.Kind):
+			return nil, fmt.Errorf("faults: %s: fault[%d].kind: %q is not one of %s", file, i, fault.Kind, strings.Join(faultKinds, ", "))
+		case !(fault.AtS >= 0), !(fault.ForS >= 0), !(fault.BootFactor >= 0):
+			return nil, fmt.Errorf("faults: %s: fault[%d]: at_s, for_s and times must be 0 or more", file, i)
 		}
 	}
 	if f.EveryS < 0 || f.EveryS > 0 && f.EveryS < 1 {
@@ -57,20 +58,20 @@
 	return &f, nil
 }
 
-// plan puts the faults on the world's clock.
-func (c *Cluster) plan() {
+// scheduleFaults adds the faults to the simulator's events.
+func (c *Cluster) scheduleFaults() {
 	f := c.cfg.Faults
 	if f == nil {
 		return
 	}
-	for _, x := range f.Fault {
-		c.world.At(seconds(x.AtS), func() { c.play(x) })
+	for _, fault := range f.Fault {
+		c.world.At(seconds(fault.AtS), func() { c.inject(fault) })
 	}
 	if f.EveryS > 0 {
 		r := rand.New(rand.NewPCG(f.Seed, 9))
 		var next func()
 		next = func() {
-			c.play(Fault{Kind: kinds[r.IntN(len(kinds))], Node: r.IntN(len(c.nodes)), ForS: 1 + 8*r.Float64(), Hold: r.IntN(2) == 0, Times: 4})
+			c.inject(Fault{Kind: faultKinds[r.IntN(len(faultKinds))], Node: r.IntN(len(c.controllers)), ForS: 1 + 8*r.Float64(), Hold: r.IntN(2) == 0, BootFactor: 4})
 			c.world.At(c.world.Now()+seconds(f.EveryS*(0.5+r.Float64())), next)
 		}
 		c.world.At(seconds(f.EveryS), next)
@@ -79,48 +80,49 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (c *Cluster) play(x Fault) {
-	d := seconds(x.ForS)
-	fmt.Fprintf(c.cfg.Out, "%7.1f s: %s, node %d, for %.1f s\n", c.world.Now().Seconds(), x.Kind, x.Node, x.ForS)
+// inject prints the fault and makes it happen now.
+func (c *Cluster) inject(fault Fault) {
+	d := seconds(fault.ForS)
+	fmt.Fprintf(c.cfg.Out, "%7.1f s: %s, node %d, for %.1f s\n", c.world.Now().Seconds(), fault.Kind, fault.Node, fault.ForS)
 	w := c.world
-	for i, k := range c.nodes {
-		if x.Kind != "crash_all" && x.Node >= 0 && i != x.Node {
+	for i, k := range c.controllers {
+		if fault.Kind != "crash_all" && fault.Node >= 0 && i != fault.Node {
 			continue
 		}
-		switch x.Kind {
+		switch fault.Kind {
 		case "crash", "crash_all":
 			k.crash(d)
 		case "freeze":
 			k.freeze(d)
 		case "state_refuses":
-			w.State.RefuseNode(k.set.Label, d)
+			w.State.RefuseNode(k.settings.Label, d)
 		case "state_cut":
-			w.Cut(k.set.Label, "state", d, x.Hold)
+			w.Cut(k.settings.Label, "state", d, fault.Hold)
 		}
 	}
-	switch x.Kind {
+	switch fault.Kind {
 	case "state_outage":
 		w.State.Outage(d)
 	case "cloud_outage":
 		w.Cloud.Outage(d)
 	case "machine_die", "machine_hang":
-		ms := w.Machines()
-		if len(ms) == 0 {
+		machines := w.Machines()
+		if len(machines) == 0 {
 			return
 		}
-		busiest := ms[0]
-		for _, m := range ms {
+		busiest := machines[0]
+		for _, m := range machines {
 			if m.Tasks() > busiest.Tasks() {
 				busiest = m
 			}
 		}
-		if x.Kind == "machine_die" {
+		if fault.Kind == "machine_die" {
 			busiest.Die()
 		} else {
 			busiest.Hang(d)
 		}
 	case "slow_boots":
-		w.Cloud.BootFactor = func(string) float64 { return max(1, x.Times) }
+		w.Cloud.BootFactor = func(string) float64 { return max(1, fault.BootFactor) }
 		w.At(w.Now()+d, func() { w.Cloud.BootFactor = nil })
 	}
 }
--- a/internal/dev/front.go
+++ b/internal/dev/front.go
@@ -11,19 +11,19 @@
 	"brooklb/internal/wire"
 )
 
-// serveFront stands in for the load balancer, and for the users' upload of their
-// jobs' descriptions, which workers fetch.
-func (c *Cluster) serveFront(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
-	if err != nil || len(body) > mostBody {
+// serveLoadBalancer acts as the load balancer. It also gives the workers the job
+// descriptions that users submit; in production, users upload them for the workers.
+func (c *Cluster) serveLoadBalancer(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	if err != nil || len(body) > maxBodyBytes {
 		http.Error(w, `{"error":"body too large"}`, http.StatusBadRequest)
 		return
 	}
 	if r.Method == http.MethodPost {
 		c.upload(r.URL.Path, body)
 	}
-	for range 2 * len(c.nodes) {
-		addr := c.next()
+	for range 2 * len(c.controllers) {
+		addr := c.nextController()
 		ctx, stop := context.WithTimeout(r.Context(), 5*time.Second)
 		req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+addr+r.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
@@ -31,7 +31,7 @@
 			http.Error(w, `{"error":"malformed"}`, http.StatusBadRequest)
 			return
 		}
-		resp, err := web.Do(req)
+		resp, err := controllerHTTP.Do(req)
 		if err != nil {
 			stop()
 			continue
@@ -58,8 +58,8 @@
 	http.Error(w, `{"error":"no controller answers"}`, http.StatusServiceUnavailable)
 }
 
-// upload hands a description to the workers before a controller hears of the job.
-// What makes no sense to them makes none to the controller either, which says so.
+// upload gives a job description to the simulated workers before a controller gets the
+// job. It ignores malformed descriptions, because the controller rejects those.
 func (c *Cluster) upload(path string, body []byte) {
 	ready := make(chan struct{})
 	c.post(func() {
@@ -78,17 +78,17 @@
 	}
 }
 
-// next is the controller to ask, in turn.
-func (c *Cluster) next() string {
+// nextController returns the address of the next controller in round-robin order.
+func (c *Cluster) nextController() string {
 	got := make(chan string, 1)
 	c.post(func() {
-		c.front = (c.front + 1) % len(c.nodes)
-		got <- c.nodes[c.front].set.Bind
+		c.lastAsked = (c.lastAsked + 1) % len(c.controllers)
+		got <- c.controllers[c.lastAsked].settings.Bind
 	})
 	select {
 	case a := <-got:
 		return a
 	case <-c.done:
-		return c.nodes[0].set.Bind
+		return c.controllers[0].settings.Bind
 	}
 }
--- a/internal/dev/link.go
+++ b/internal/dev/link.go
@@ -14,16 +14,16 @@
 	"brooklb/internal/actor"
 )
 
-// workerLink is the one connection that a worker keeps to the controller it reports to.
+// workerLink is a worker's persistent connection to the controller that it reports to.
 type workerLink struct {
-	mu   sync.Mutex // one report is in flight at a time
-	addr string
-	conn net.Conn
-	in   *bufio.Reader
+	mu     sync.Mutex // one report is in flight at a time
+	addr   string
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // roundTrip sends a report and waits for its answer.
-func (l *workerLink) roundTrip(call actor.Call, body []byte, count *Count) actor.Answer {
+func (l *workerLink) roundTrip(call actor.Call, body []byte, count *Counter) actor.Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	deadline := time.Now().Add(call.Timeout)
@@ -53,12 +53,13 @@
 		}
 		return err
 	}
-	l.addr, l.conn, l.in = addr, conn, bufio.NewReaderSize(conn, 1<<10)
+	l.addr, l.conn, l.reader = addr, conn, bufio.NewReaderSize(conn, 1<<10)
 	return nil
 }
 
-// exchange reports whether the connection may be kept after the answer.
-func (l *workerLink) exchange(call actor.Call, body []byte, count *Count, deadline time.Time) (answer actor.Answer, keep bool, err error) {
+// exchange sends a request and reads the answer. It also reports whether the connection
+// may be reused.
+func (l *workerLink) exchange(call actor.Call, body []byte, count *Counter, deadline time.Time) (answer actor.Answer, keep bool, err error) {
 	if err := l.conn.SetDeadline(deadline); err != nil {
 		return answer, false, err
 	}
@@ -68,12 +69,12 @@
 		return answer, false, err
 	}
 	count.toController.Add(int64(len(request)))
-	response, err := http.ReadResponse(l.in, nil)
+	response, err := http.ReadResponse(l.reader, nil)
 	if err != nil {
 		return answer, false, err
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, mostBody))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
 		return answer, false, err
 	}
@@ -81,7 +82,7 @@
 	return actor.Answer{Status: response.StatusCode, Body: content}, !response.Close, nil
 }
 
-// headerBytes is the length of a response's head as it was sent.
+// headerBytes returns the length in bytes of a response's status line and headers.
 func headerBytes(r *http.Response) int {
 	n := len(r.Proto) + 1 + len(r.Status) + 4
 	for name, values := range r.Header {
@@ -95,7 +96,7 @@
 func (l *workerLink) drop() {
 	if l.conn != nil {
 		_ = l.conn.Close()
-		l.conn, l.in, l.addr = nil, nil, ""
+		l.conn, l.reader, l.addr = nil, nil, ""
 	}
 }
 
--- a/internal/dev/network.go
+++ b/internal/dev/network.go
@@ -10,10 +10,10 @@
 	"brooklb/internal/settings"
 )
 
-// Network is how far places are from each other. A place is a zone, or "" for what is
-// regional: users, the cloud and the state service.
+// Network has the delays between places. A place is a zone, or "" for hosts that are in
+// no zone: users, the cloud and the state service.
 type Network struct {
-	// Delay is the way from one place to another.
+	// Delay returns the one-way delay from one place to another.
 	Delay func(from, to string) time.Duration
 }
 
@@ -24,39 +24,41 @@
 	return n.Delay(from, to)
 }
 
-func (c *Cluster) distance(from, to string) time.Duration {
+// networkDelay returns the one-way delay between two hosts.
+func (c *Cluster) networkDelay(from, to string) time.Duration {
 	if c.cfg.Network == nil {
 		return 0
 	}
 	return c.cfg.Network.delay(c.world.Place(from), c.world.Place(to))
 }
 
-// peerNetwork carries what controllers say to each other through listeners of its own, one
-// for each pair, so that it takes its time and can be cut.
+// peerNetwork proxies the traffic between controllers, with one listener for each
+// directed pair of them, so that it can delay and partition the traffic.
 type peerNetwork struct {
-	c         *Cluster
+	cluster   *Cluster
 	mu        sync.Mutex
 	listeners []net.Listener
 	conns     map[net.Conn]struct{}
 	closed    bool
 }
 
-// peerPath is the way between two controllers.
+// peerPath is the path from one controller to another.
 type peerPath struct {
 	from, to string // labels
 	delay    time.Duration
 	target   string
-	count    *Count
+	count    *Counter
 }
 
-// openPeerNetwork replaces the addresses under which controllers know each other.
+// openPeerNetwork starts the proxies and puts their addresses into the controllers'
+// settings in place of the other controllers' addresses.
 func (c *Cluster) openPeerNetwork() error {
-	c.network = &peerNetwork{c: c, conns: map[net.Conn]struct{}{}}
+	c.network = &peerNetwork{cluster: c, conns: map[net.Conn]struct{}{}}
 	for i, s := range c.world.Set {
 		peers := make([]settings.Peer, len(s.Peers))
 		for k, p := range s.Peers {
-			path := peerPath{from: s.Label, to: p.Label, delay: c.cfg.Network.delay(s.Location, p.Location), target: p.Endpoint, count: c.traffic.of(Peers, p.Label)}
-			ln, err := net.Listen("tcp4", fmt.Sprintf("%s.%d.%d:0", c.net, 252, i+1))
+			path := peerPath{from: s.Label, to: p.Label, delay: c.cfg.Network.delay(s.Location, p.Location), target: p.Endpoint, count: c.traffic.counter(Peers, p.Label)}
+			ln, err := net.Listen("tcp4", fmt.Sprintf("%s.%d.%d:0", c.loopbackNet, 252, i+1))
 			if err != nil {
 				return fmt.Errorf("network between controllers: %w", err)
 			}
@@ -75,36 +77,37 @@
 		if err != nil {
 			return
 		}
-		go n.carry(conn, path)
+		go n.proxy(conn, path)
 	}
 }
 
-func (n *peerNetwork) carry(near net.Conn, path peerPath) {
-	if !n.keep(near) {
+// proxy forwards an accepted connection to its target until either side closes.
+func (n *peerNetwork) proxy(near net.Conn, path peerPath) {
+	if !n.track(near) {
 		return
 	}
-	defer n.drop(near)
+	defer n.closeConn(near)
 	if n.isCut(path) {
 		return
 	}
 	far, err := net.DialTimeout("tcp4", path.target, time.Second)
-	if err != nil || !n.keep(far) {
+	if err != nil || !n.track(far) {
 		return
 	}
-	defer n.drop(far)
+	defer n.closeConn(far)
 	done := make(chan struct{}, 2)
 	go n.pipe(far, near, path, done, true)
 	go n.pipe(near, far, path, done, false)
-	<-done // a connection that is closed on one side is closed on both
+	<-done // once one side is closed, the deferred calls close both
 }
 
-// chunk is some bytes on their way.
+// chunk is data in transit.
 type chunk struct {
 	due   time.Time
 	bytes []byte
 }
 
-// pipe carries one direction of a connection.
+// pipe forwards one direction of a connection with the delay of its path.
 func (n *peerNetwork) pipe(to, from net.Conn, path peerPath, done chan<- struct{}, requests bool) {
 	defer func() { done <- struct{}{} }()
 	chunks := make(chan chunk, 64)
@@ -139,26 +142,28 @@
 		}
 	}
 	_ = from.Close()
-	for range chunks { // its reader ends
+	for range chunks { // unblocks the reading goroutine, which then ends
 	}
 }
 
-// isCut asks the stand-ins' thread.
+// isCut reports whether a partition separates the two controllers or the cluster has ended.
 func (n *peerNetwork) isCut(path peerPath) bool {
 	got := make(chan bool, 1)
-	n.c.post(func() {
-		_, _, cut := n.c.world.Between(path.from, path.to)
+	n.cluster.post(func() {
+		_, _, cut := n.cluster.world.Between(path.from, path.to)
 		got <- cut
 	})
 	select {
 	case cut := <-got:
 		return cut
-	case <-n.c.done:
+	case <-n.cluster.done:
 		return true
 	}
 }
 
-func (n *peerNetwork) keep(conn net.Conn) bool {
+// track registers a connection so that close closes it too. It returns false if the
+// network is already closed.
+func (n *peerNetwork) track(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -169,7 +174,7 @@
 	return true
 }
 
-func (n *peerNetwork) drop(conn net.Conn) {
+func (n *peerNetwork) closeConn(conn net.Conn) {
 	_ = conn.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/dev/sockets.go
+++ b/internal/dev/sockets.go
@@ -18,74 +18,75 @@
 )
 
 const (
-	// Bodies are at most 64 KiB by the protocol.
-	mostBody = 64 << 10
-	// A watch of the state service blocks for at most a minute.
-	longest = 70 * time.Second
+	// The protocol limits bodies to 64 KiB.
+	maxBodyBytes = 64 << 10
+	// Requests must outlast a watch of the state service, which blocks for up to a minute.
+	requestTimeout = 70 * time.Second
 )
 
-// hear serves HTTP at an address.
-func (c *Cluster) hear(name, addr string, h http.HandlerFunc) error {
+// serve starts an HTTP server at an address. It replaces the server with the same name.
+func (c *Cluster) serve(name, addr string, h http.HandlerFunc) error {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
-		return fmt.Errorf("stand-in %s: %w", name, err)
+		return fmt.Errorf("simulated service %s: %w", name, err)
 	}
-	ln = countingListener{ln, c.traffic.of(interfaceOf(name), controllerOf(name))}
-	s := &http.Server{Handler: h, ReadTimeout: longest, ReadHeaderTimeout: 10 * time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
-	if old := c.ears[name]; old != nil {
+	ln = countingListener{ln, c.traffic.counter(interfaceOf(name), controllerOf(name))}
+	s := &http.Server{Handler: h, ReadTimeout: requestTimeout, ReadHeaderTimeout: 10 * time.Second, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0)}
+	if old := c.servers[name]; old != nil {
 		_ = old.Close()
 	}
-	c.ears[name] = s
+	c.servers[name] = s
 	go func() { _ = s.Serve(ln) }()
 	return nil
 }
 
-func (c *Cluster) deaf(name string) {
-	if e := c.ears[name]; e != nil {
-		delete(c.ears, name)
+// stopServing closes the HTTP server with the name, if there is one.
+func (c *Cluster) stopServing(name string) {
+	if e := c.servers[name]; e != nil {
+		delete(c.servers, name)
 		go func() { _ = e.Close() }()
 	}
 }
 
-// open opens the sockets of the state service, the cloud and the load balancer.
-func (c *Cluster) open() error {
+// openServers starts the servers of the state service, the cloud and the load balancer.
+func (c *Cluster) openServers() error {
 	for _, s := range c.world.Set {
 		from := s.Label
-		if err := c.hear("state "+from, s.External.State, c.standIn("state", from)); err != nil {
+		if err := c.serve("state "+from, s.External.State, c.simulatedHandler("state", from)); err != nil {
 			return err
 		}
-		if err := c.hear("cloud "+from, s.External.Cloud, c.standIn("cloud", from)); err != nil {
+		if err := c.serve("cloud "+from, s.External.Cloud, c.simulatedHandler("cloud", from)); err != nil {
 			return err
 		}
 	}
-	return c.hear("front", c.cfg.Front, c.serveFront)
+	return c.serve("front", c.cfg.LoadBalancerAddr, c.serveLoadBalancer)
 }
 
-type answer struct {
+type response struct {
 	status int
 	body   []byte
 }
 
-// standIn hands requests to a stand-in. What a cut holds waits for its end, on the
-// way there and back; what it resets is reset.
-func (c *Cluster) standIn(to, from string) http.HandlerFunc {
+// simulatedHandler passes requests to a simulated service or machine. During a partition,
+// requests and responses are delayed until its end or the connection is reset.
+func (c *Cluster) simulatedHandler(to, from string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
-		if err != nil || len(body) > mostBody {
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+		if err != nil || len(body) > maxBodyBytes {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		c.traffic.of(interfaceOf(to), from).message()
-		who := from // "": some controller, which of them doesn't show
-		got := make(chan answer, 1)
+		c.traffic.counter(interfaceOf(to), from).message()
+		caller := from // "" if the request doesn't show which controller sent it
+		got := make(chan response, 1)
 		reset := make(chan struct{}, 1)
 		c.post(func() {
-			if who == "" {
-				who = c.world.State.LeaderName() // only a leader calls workers
+			if caller == "" {
+				caller = c.world.State.LeaderName() // only the leader sends requests to workers
 			}
-			c.cross(who, to, reset, func() {
-				c.world.Ask(to, who, r.Method, r.URL.RequestURI(), body, func(status int, b []byte) {
-					c.cross(to, who, reset, func() { got <- answer{status, bytes.Clone(b)} })
+			c.deliver(caller, to, reset, func() {
+				c.world.Ask(to, caller, r.Method, r.URL.RequestURI(), body, func(status int, b []byte) {
+					c.deliver(to, caller, reset, func() { got <- response{status, bytes.Clone(b)} })
 				})
 			})
 		})
@@ -99,14 +100,15 @@
 		case <-r.Context().Done():
 		case <-c.done:
 			panic(http.ErrAbortHandler)
-		case <-time.After(longest):
+		case <-time.After(requestTimeout):
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// cross carries something over the network between two hosts.
-func (c *Cluster) cross(from, to string, reset chan struct{}, f func()) {
+// deliver calls f when a message between two hosts arrives. It signals reset instead if
+// a partition resets the connection.
+func (c *Cluster) deliver(from, to string, reset chan struct{}, f func()) {
 	until, hold, cut := c.world.Between(from, to)
 	switch {
 	case !cut && c.cfg.Network == nil:
@@ -123,16 +125,16 @@
 	}
 }
 
-// Send implements sim.Outside: a worker's or a user's request to a controller.
+// Send implements sim.Outside. It sends a worker's or a user's request to a controller.
 func (c *Cluster) Send(from string, call actor.Call) {
 	to := ""
-	for _, k := range c.nodes {
-		if k.set.Bind == call.Addr {
-			to = k.set.Label
+	for _, k := range c.controllers {
+		if k.settings.Bind == call.Addr {
+			to = k.settings.Label
 		}
 	}
 	body := bytes.Clone(call.Body)
-	if d := c.distance(from, to); d > 0 {
+	if d := c.networkDelay(from, to); d > 0 {
 		finish := call.Done
 		call.Done = func(a actor.Answer) { c.world.At(c.world.Now()+d, func() { finish(a) }) }
 		c.world.At(c.world.Now()+d, func() { c.send(from, to, call, body) })
@@ -144,20 +146,22 @@
 func (c *Cluster) send(from, to string, call actor.Call, body []byte) {
 	finish := func(a actor.Answer) { c.post(func() { call.Done(a) }) }
 	if until, hold, cut := c.world.Between(from, to); cut && hold {
-		// It is given up by then; a report that comes late is as old as it is.
-		c.world.At(max(until, c.world.Now()), func() { c.do(from, to, call, body, func(actor.Answer) {}) })
+		// The request reaches the controller late, after the partition. The sender gets a
+		// time-out and never sees the answer.
+		c.world.At(max(until, c.world.Now()), func() { c.sendNow(from, to, call, body, func(actor.Answer) {}) })
 		c.world.At(c.world.Now()+call.Timeout, func() { call.Done(actor.Answer{Err: actor.ErrNoAnswer}) })
 		return
 	} else if cut {
 		c.world.At(c.world.Now()+time.Millisecond, func() { call.Done(actor.Answer{Err: actor.ErrNotSent}) })
 		return
 	}
-	c.do(from, to, call, body, finish)
+	c.sendNow(from, to, call, body, finish)
 }
 
-var web = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}
+// controllerHTTP is the load balancer's client to the controllers.
+var controllerHTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}
 
-// userClient is what users send requests with; their bytes are counted.
+// userClient returns the users' HTTP client, which counts the bytes of each controller.
 func (c *Cluster) userClient() *http.Client {
 	labels := map[string]string{}
 	for _, s := range c.world.Set {
@@ -169,15 +173,17 @@
 		if err != nil {
 			return nil, err
 		}
-		count := c.traffic.of(Users, labels[addr])
+		count := c.traffic.counter(Users, labels[addr])
 		return countingConn{conn, &count.toController, &count.fromController}, nil
 	}
 	return &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}
 }
 
-func (c *Cluster) do(from, to string, call actor.Call, body []byte, done func(actor.Answer)) {
+// sendNow sends a request without the simulated network. Workers use their own
+// connection, users share an HTTP client.
+func (c *Cluster) sendNow(from, to string, call actor.Call, body []byte, done func(actor.Answer)) {
 	if from != "users" {
-		count := c.traffic.of(Reports, to)
+		count := c.traffic.counter(Reports, to)
 		count.message()
 		link := c.links[from]
 		if link == nil {
@@ -187,7 +193,7 @@
 		go func() { done(link.roundTrip(call, body, count)) }()
 		return
 	}
-	c.traffic.of(Users, to).message()
+	c.traffic.counter(Users, to).message()
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), call.Timeout)
 		defer stop()
@@ -196,7 +202,7 @@
 			done(actor.Answer{Err: errors.Join(actor.ErrNotSent, err)})
 			return
 		}
-		resp, err := c.users.Do(req)
+		resp, err := c.userHTTP.Do(req)
 		if err != nil {
 			kind := actor.ErrNoAnswer
 			if errors.Is(err, syscall.ECONNREFUSED) {
@@ -215,23 +221,23 @@
 	}()
 }
 
-// Up implements sim.Outside: a machine's worker listens.
+// Up implements sim.Outside. It starts the server of a machine's worker.
 func (c *Cluster) Up(m *sim.Machine) {
-	if err := c.hear(m.Name, m.Addr, c.standIn(m.Name, "")); err != nil {
-		c.cfg.Log.Error("a machine's worker can't listen", "machine", m.Name, "err", err)
+	if err := c.serve(m.Name, m.Addr, c.simulatedHandler(m.Name, "")); err != nil {
+		c.cfg.Log.Error("worker can't listen", "machine", m.Name, "err", err)
 	}
 }
 
-// Gone implements sim.Outside.
+// Gone implements sim.Outside. It closes the connections of a machine that is gone.
 func (c *Cluster) Gone(m *sim.Machine) {
-	c.deaf(m.Name)
+	c.stopServing(m.Name)
 	if l := c.links[m.Name]; l != nil {
 		delete(c.links, m.Name)
 		go l.close()
 	}
 }
 
-// Listen implements sim.Outside: an instance of a service serves HTTP.
+// Listen implements sim.Outside. It starts the HTTP server of a service's instance.
 func (c *Cluster) Listen(m *sim.Machine, instance string, port int) {
 	if c.world.Refuses(m, instance) {
 		return
@@ -241,7 +247,7 @@
 		return
 	}
 	name := m.Name + " " + instance
-	err = c.hear(name, net.JoinHostPort(host, strconv.Itoa(port)), func(w http.ResponseWriter, r *http.Request) {
+	err = c.serve(name, net.JoinHostPort(host, strconv.Itoa(port)), func(w http.ResponseWriter, r *http.Request) {
 		got := make(chan int, 1)
 		gone := make(chan struct{}, 1)
 		c.post(func() {
@@ -257,13 +263,13 @@
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 		case <-c.done:
-		case <-time.After(longest):
+		case <-time.After(requestTimeout):
 		}
 	})
 	if err != nil {
-		c.cfg.Log.Error("an instance can't listen", "machine", m.Name, "instance", instance, "err", err)
+		c.cfg.Log.Error("instance can't listen", "machine", m.Name, "instance", instance, "err", err)
 	}
 }
 
-// Unlisten implements sim.Outside.
-func (c *Cluster) Unlisten(m *sim.Machine, instance string) { c.deaf(m.Name + " " + instance) }
+// Unlisten implements sim.Outside. It stops the HTTP server of a service's instance.
+func (c *Cluster) Unlisten(m *sim.Machine, instance string) { c.stopServing(m.Name + " " + instance) }
--- a/internal/dev/traffic.go
+++ b/internal/dev/traffic.go
@@ -10,7 +10,7 @@
 // Interface is one of the cluster's protocols.
 type Interface string
 
-// The interfaces.
+// The protocols between the cluster's parts.
 const (
 	Reports Interface = "reports" // workers to controllers
 	Orders  Interface = "orders"  // controllers to workers
@@ -20,79 +20,81 @@
 	Peers   Interface = "peers" // controllers among themselves
 )
 
-// interfaceOf is the interface that a stand-in serves, by its name.
-func interfaceOf(standIn string) Interface {
+// interfaceOf returns the interface of the server with the given name.
+func interfaceOf(server string) Interface {
 	switch {
-	case strings.HasPrefix(standIn, "state"):
+	case strings.HasPrefix(server, "state"):
 		return State
-	case strings.HasPrefix(standIn, "cloud"):
+	case strings.HasPrefix(server, "cloud"):
 		return Cloud
-	case standIn == "front":
+	case server == "front":
 		return Users
 	}
 	return Orders
 }
 
-// controllerOf is the controller that asks a stand-in with the name, "" if it isn't known.
-func controllerOf(standIn string) string {
-	kind, label, _ := strings.Cut(standIn, " ")
+// controllerOf returns the label of the only controller that calls the named server, or
+// "" if the name has none.
+func controllerOf(server string) string {
+	kind, label, _ := strings.Cut(server, " ")
 	if kind != "state" && kind != "cloud" {
 		return ""
 	}
 	return label
 }
 
-// Count counts requests, and the bytes of both directions above TCP.
-type Count struct {
+// Counter counts requests and the bytes of TCP payload in both directions.
+type Counter struct {
 	messages, toController, fromController atomic.Int64
 }
 
-func (c *Count) message() { c.messages.Add(1) }
+func (c *Counter) message() { c.messages.Add(1) }
 
-// Totals are a Count at one moment.
+// Totals are the values of a Counter at one moment.
 type Totals struct {
 	Messages       int64 `json:"messages"`
 	ToController   int64 `json:"bytes_to_controller"`
 	FromController int64 `json:"bytes_from_controller"`
 }
 
-// Sub is what was counted since an earlier moment.
+// Sub returns what was counted since an earlier moment.
 func (t Totals) Sub(earlier Totals) Totals {
 	return Totals{t.Messages - earlier.Messages, t.ToController - earlier.ToController, t.FromController - earlier.FromController}
 }
 
-// Add sums two totals.
+// Add returns the sum of two totals.
 func (t Totals) Add(x Totals) Totals {
 	return Totals{t.Messages + x.Messages, t.ToController + x.ToController, t.FromController + x.FromController}
 }
 
-// TrafficKey names a counter: an interface and, where it is known, the controller.
+// TrafficKey identifies a Counter by its interface and its controller, which is "" if it
+// is unknown.
 type TrafficKey struct {
 	Interface  Interface
 	Controller string
 }
 
-// Traffic is all counters of a cluster.
+// Traffic has all counters of a cluster.
 type Traffic struct {
 	mu     sync.Mutex
-	counts map[TrafficKey]*Count
+	counts map[TrafficKey]*Counter
 }
 
-func newTraffic() *Traffic { return &Traffic{counts: map[TrafficKey]*Count{}} }
+func newTraffic() *Traffic { return &Traffic{counts: map[TrafficKey]*Counter{}} }
 
-func (t *Traffic) of(i Interface, controller string) *Count {
+func (t *Traffic) counter(i Interface, controller string) *Counter {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := TrafficKey{i, controller}
-	c := t.counts[k]
+	key := TrafficKey{i, controller}
+	c := t.counts[key]
 	if c == nil {
-		c = &Count{}
-		t.counts[k] = c
+		c = &Counter{}
+		t.counts[key] = c
 	}
 	return c
 }
 
-// Totals is what was counted so far.
+// Totals returns the current values of all counters.
 func (t *Traffic) Totals() map[TrafficKey]Totals {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,11 +105,11 @@
 	return out
 }
 
-// countingListener counts what goes over the connections that it accepts: controllers
-// opened them.
+// countingListener counts the bytes of the connections that it accepts. It counts the
+// connecting side as the controller.
 type countingListener struct {
 	net.Listener
-	count *Count
+	count *Counter
 }
 
 func (l countingListener) Accept() (net.Conn, error) {
@@ -118,7 +120,7 @@
 	return countingConn{c, &l.count.toController, &l.count.fromController}, nil
 }
 
-// countingConn counts what is read and written.
+// countingConn counts the bytes that are read and written.
 type countingConn struct {
 	net.Conn
 	written, read *atomic.Int64
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -42,9 +42,9 @@
 	r := &loopbackRun{profile: p, options: o}
 	world := worldConfig(p, o.Seed)
 	world.NodeZones = p.controllerZones()
-	err = dev.Run(ctx, dev.Config{Controllers: p.Cluster.Controllers, Seed: o.Seed, Front: "127.0.0.1:0", Dir: o.Dir, World: &world,
-		For: seconds(p.Run.SettleS+p.Run.MeasureS) + time.Minute, Network: &dev.Network{Delay: p.delay},
-		Controller: o.Controller, Out: o.Progress, Log: slog.New(slog.DiscardHandler), Started: r.started, Work: r.work})
+	err = dev.Run(ctx, dev.Config{Controllers: p.Cluster.Controllers, Seed: o.Seed, LoadBalancerAddr: "127.0.0.1:0", Dir: o.Dir, Simulation: &world,
+		Duration: seconds(p.Run.SettleS+p.Run.MeasureS) + time.Minute, Network: &dev.Network{Delay: p.delay},
+		ControllerCommand: o.Controller, Out: o.Progress, Log: slog.New(slog.DiscardHandler), Started: r.started, Work: r.work})
 	if err != nil {
 		return nil, err
 	}
