--- a/internal/dev/controllers.go
+++ b/internal/dev/controllers.go
@@ -50,7 +50,7 @@
 	if err := k.cmd.Start(); err != nil {
 		return fmt.Errorf("controller %s: %w", k.settings.Label, err)
 	}
-	k.cluster.world.SetUp(k.index, true)
+	k.cluster.world.SetNodeUp(k.index, true)
 	exited := make(chan struct{})
 	k.exited = exited
 	cmd := k.cmd
@@ -58,7 +58,7 @@
 		err := cmd.Wait()
 		close(exited)
 		k.cluster.post(func() {
-			k.cluster.world.SetUp(k.index, false)
+			k.cluster.world.SetNodeUp(k.index, false)
 			if generation == k.generation && !k.cluster.ended {
 				k.cluster.cfg.Log.Error("controller exited unexpectedly", "node", k.settings.Label, "err", err)
 				k.cluster.world.At(k.cluster.world.Now()+2*time.Second, k.restart(generation))
@@ -84,7 +84,7 @@
 // crash kills the process without a chance to clean up and restarts it after d.
 func (k *controller) crash(d time.Duration) {
 	k.kill()
-	k.cluster.world.SetUp(k.index, false)
+	k.cluster.world.SetNodeUp(k.index, false)
 	k.cluster.world.At(k.cluster.world.Now()+d, k.restart(k.generation))
 }
 
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -112,7 +112,7 @@
 		simulation = &sim.Config{Seed: cfg.Seed, Zones: zones, Teams: teams, Capacity: cfg.Machines, Initial: cfg.Initial, CPUs: 16, GPUs: 4, BootS: cfg.BootS,
 			Objectives: []settings.Objective{{Kind: "wait", Class: "c-ensemble", WithinS: 30, Share: 0.9}}}
 	}
-	simulation.Nodes, simulation.Outside, simulation.Net, simulation.Log = cfg.Controllers, c, loopbackNet, cfg.Log
+	simulation.Nodes, simulation.Transport, simulation.Net, simulation.Log = cfg.Controllers, c, loopbackNet, cfg.Log
 	c.world = sim.New(*simulation)
 	c.userHTTP = c.userClient()
 	defer c.shutDown()
@@ -124,7 +124,7 @@
 			return err
 		}
 	}
-	for i, s := range c.world.Set {
+	for i, s := range c.world.Settings {
 		k := &controller{cluster: c, index: i, settings: s}
 		c.controllers = append(c.controllers, k)
 		if err := k.writeSettings(); err != nil {
@@ -162,7 +162,7 @@
 		return <-worked
 	}
 	fmt.Fprintf(cfg.Out, "\nthe simulated cluster ends after %.0f s: %s\n", time.Since(c.start).Seconds(), c.world.Summary())
-	if n := len(c.world.Broken); n > 0 {
+	if n := len(c.world.Violations); n > 0 {
 		return fmt.Errorf("%d rules of the protocol were broken", n)
 	}
 	return <-worked
--- a/internal/dev/faults.go
+++ b/internal/dev/faults.go
@@ -117,7 +117,7 @@
 			}
 		}
 		if fault.Kind == "machine_die" {
-			busiest.Die()
+			busiest.Fail()
 		} else {
 			busiest.Hang(d)
 		}
--- a/internal/dev/front.go
+++ b/internal/dev/front.go
@@ -47,7 +47,7 @@
 		}
 		if resp.StatusCode == 200 && strings.HasSuffix(r.URL.Path, "/"+wire.PathWithdraw) {
 			if id, ok := strings.CutPrefix(strings.TrimSuffix(r.URL.Path, "/"+wire.PathWithdraw), wire.PathJobs+"/"); ok {
-				c.post(func() { c.world.Forget(id) })
+				c.post(func() { c.world.MarkCancelled(id) })
 			}
 		}
 		w.WriteHeader(resp.StatusCode)
--- a/internal/dev/network.go
+++ b/internal/dev/network.go
@@ -29,7 +29,7 @@
 	if c.cfg.Network == nil {
 		return 0
 	}
-	return c.cfg.Network.delay(c.world.Place(from), c.world.Place(to))
+	return c.cfg.Network.delay(c.world.ZoneOf(from), c.world.ZoneOf(to))
 }
 
 // peerNetwork proxies the traffic between controllers, with one listener for each
@@ -54,7 +54,7 @@
 // settings in place of the other controllers' addresses.
 func (c *Cluster) openPeerNetwork() error {
 	c.network = &peerNetwork{cluster: c, conns: map[net.Conn]struct{}{}}
-	for i, s := range c.world.Set {
+	for i, s := range c.world.Settings {
 		peers := make([]settings.Peer, len(s.Peers))
 		for k, p := range s.Peers {
 			path := peerPath{from: s.Label, to: p.Label, delay: c.cfg.Network.delay(s.Location, p.Location), target: p.Endpoint, count: c.traffic.counter(Peers, p.Label)}
@@ -150,7 +150,7 @@
 func (n *peerNetwork) isCut(path peerPath) bool {
 	got := make(chan bool, 1)
 	n.cluster.post(func() {
-		_, _, cut := n.cluster.world.Between(path.from, path.to)
+		_, _, cut := n.cluster.world.CutBetween(path.from, path.to)
 		got <- cut
 	})
 	select {
--- a/internal/dev/sockets.go
+++ b/internal/dev/sockets.go
@@ -50,7 +50,7 @@
 
 // openServers starts the servers of the state service, the cloud and the load balancer.
 func (c *Cluster) openServers() error {
-	for _, s := range c.world.Set {
+	for _, s := range c.world.Settings {
 		from := s.Label
 		if err := c.serve("state "+from, s.External.State, c.simulatedHandler("state", from)); err != nil {
 			return err
@@ -85,7 +85,7 @@
 				caller = c.world.State.LeaderName() // only the leader sends requests to workers
 			}
 			c.deliver(caller, to, reset, func() {
-				c.world.Ask(to, caller, r.Method, r.URL.RequestURI(), body, func(status int, b []byte) {
+				c.world.HandleRequest(to, caller, r.Method, r.URL.RequestURI(), body, func(status int, b []byte) {
 					c.deliver(to, caller, reset, func() { got <- response{status, bytes.Clone(b)} })
 				})
 			})
@@ -109,12 +109,12 @@
 // deliver calls f when a message between two hosts arrives. It signals reset instead if
 // a partition resets the connection.
 func (c *Cluster) deliver(from, to string, reset chan struct{}, f func()) {
-	until, hold, cut := c.world.Between(from, to)
+	until, hold, cut := c.world.CutBetween(from, to)
 	switch {
 	case !cut && c.cfg.Network == nil:
 		f()
 	case !cut:
-		c.world.At(c.world.Now()+c.cfg.Network.delay(c.world.Place(from), c.world.Place(to)), f)
+		c.world.At(c.world.Now()+c.cfg.Network.delay(c.world.ZoneOf(from), c.world.ZoneOf(to)), f)
 	case hold:
 		c.world.At(until, f)
 	default:
@@ -145,7 +145,7 @@
 
 func (c *Cluster) send(from, to string, call actor.Call, body []byte) {
 	finish := func(a actor.Answer) { c.post(func() { call.Done(a) }) }
-	if until, hold, cut := c.world.Between(from, to); cut && hold {
+	if until, hold, cut := c.world.CutBetween(from, to); cut && hold {
 		// The request reaches the controller late, after the partition. The sender gets a
 		// time-out and never sees the answer.
 		c.world.At(max(until, c.world.Now()), func() { c.sendNow(from, to, call, body, func(actor.Answer) {}) })
@@ -164,7 +164,7 @@
 // userClient returns the users' HTTP client, which counts the bytes of each controller.
 func (c *Cluster) userClient() *http.Client {
 	labels := map[string]string{}
-	for _, s := range c.world.Set {
+	for _, s := range c.world.Settings {
 		labels[s.Bind] = s.Label
 	}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -239,7 +239,7 @@
 
 // Listen implements sim.Outside. It starts the HTTP server of a service's instance.
 func (c *Cluster) Listen(m *sim.Machine, instance string, port int) {
-	if c.world.Refuses(m, instance) {
+	if c.world.RefusesConnections(m, instance) {
 		return
 	}
 	host, _, err := net.SplitHostPort(m.Addr)
@@ -251,7 +251,7 @@
 		got := make(chan int, 1)
 		gone := make(chan struct{}, 1)
 		c.post(func() {
-			if !c.world.Check(m, instance, func(status int) { got <- status }) {
+			if !c.world.CheckInstance(m, instance, func(status int) { got <- status }) {
 				gone <- struct{}{}
 			}
 		})
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -98,10 +98,10 @@
 	d := &l.profile.Load
 	l.arrivals(begin, d.batchJobsPerS(), func() { l.submitBatch(d.batchRunS(), runSpread) })
 	l.arrivals(begin, d.UrgentPerS, func() {
-		l.submit(sim.Job{Class: classUrgent, Shape: "sweep", Urgency: "critical", Tasks: 1, CPUs: smallTaskCPUs, RunS: urgentRunS})
+		l.submit(sim.Job{Class: classUrgent, Kind: "sweep", Urgency: "critical", Tasks: 1, CPUs: smallTaskCPUs, RunS: urgentRunS})
 	})
 	l.arrivals(begin, d.GangsPerMinute/60, func() {
-		l.submit(sim.Job{Class: classGang, Shape: "ensemble", Urgency: "high", Tasks: d.GangTasks, CPUs: smallTaskCPUs, RunS: d.GangRunS, SamePlace: true, SnapshotS: 2, StowS: 1})
+		l.submit(sim.Job{Class: classGang, Kind: "ensemble", Urgency: "high", Tasks: d.GangTasks, CPUs: smallTaskCPUs, RunS: d.GangRunS, SamePlace: true, SnapshotS: 2, SaveS: 1})
 	})
 	l.arrivals(begin, d.ChangesPerDay/secondsPerDay, l.changeResource)
 }
@@ -147,7 +147,7 @@
 }
 
 func (l *load) submitBatch(runS, spread float64) {
-	job := sim.Job{Class: classBatch, Shape: "sweep", Urgency: "standard", Tasks: l.profile.Load.TasksPerJob, CPUs: l.profile.batchCPUs(), RunS: runS, RunSpread: spread}
+	job := sim.Job{Class: classBatch, Kind: "sweep", Urgency: "standard", Tasks: l.profile.Load.TasksPerJob, CPUs: l.profile.batchCPUs(), RunS: runS, RunSpread: spread}
 	if l.rng.Float64() < l.profile.Load.CancelShare {
 		job.CancelAfter = seconds(0.2 + cancelSpreadS*l.rng.Float64())
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -148,7 +148,7 @@
 			return
 		}
 		for i := range pending {
-			m.world.Counts(i, func(counts map[string]int) {
+			m.world.UnitCounts(i, func(counts map[string]int) {
 				if counts[name] >= count {
 					delete(pending, i)
 				}
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -90,8 +90,8 @@
 	Seed           uint64       `json:"seed"`
 	Profile        *Profile     `json:"profile"`
 	Seconds        float64      `json:"measured_s"`
-	AtStart        sim.Census   `json:"at_start_of_measuring"`
-	AtEnd          sim.Census   `json:"at_end"`
+	AtStart        sim.Totals   `json:"at_start_of_measuring"`
+	AtEnd          sim.Totals   `json:"at_end"`
 	StartsPerS     []float64    `json:"starts_per_s_by_window"`
 	StartsMean     float64      `json:"starts_per_s"`
 	Urgent         Latency      `json:"urgent_start"`
@@ -122,7 +122,7 @@
 func newResult(mode Mode, p *Profile, fraction float64, seed uint64, m *measurements) *Result {
 	r := &Result{Mode: mode, Fraction: fraction, Seed: seed, Profile: p, Seconds: p.Run.MeasureS, StartsPerS: m.startsPerS(),
 		Urgent: m.urgent.latency(), UrgentRuns: m.urgentRuns.latency(), Batch: m.batch.latency(), Gangs: m.gangs.latency(), Accepted: m.accepted.latency(),
-		Config: ConfigResult{m.changes, m.config.latency(), m.notInTime, missingConfig}, BrokenRules: slices.Clone(m.world.Broken), KilledByLeases: m.world.KilledByLease}
+		Config: ConfigResult{m.changes, m.config.latency(), m.notInTime, missingConfig}, BrokenRules: slices.Clone(m.world.Violations), KilledByLeases: m.world.KilledByLease}
 	n := 0
 	for _, k := range m.windows {
 		n += k
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -95,7 +95,7 @@
 	requests    int
 	changes     int
 	refused     int
-	census      sim.Census
+	census      sim.Totals
 }
 
 // work waits for the cluster to settle, then measures.
@@ -180,11 +180,11 @@
 		return nil, err
 	}
 	r.cluster.Do(func(w *sim.World) {
-		s.leader, s.census = w.State.LeaderName(), w.Census()
-		for _, n := range w.State.Asked {
+		s.leader, s.census = w.State.LeaderName(), w.Totals()
+		for _, n := range w.State.Requests {
 			s.requests += n
 		}
-		s.changes, s.refused = w.State.Changed, w.State.Limited
+		s.changes, s.refused = w.State.Changes, w.State.Limited
 	})
 	return s, nil
 }
@@ -266,7 +266,7 @@
 		zone, n := p.Cluster.zoneName(fault.Zone), 0
 		for _, m := range w.Machines() {
 			if m.Zone == zone && n < fault.Count {
-				m.Die()
+				m.Fail()
 				n++
 			}
 		}
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -33,14 +33,14 @@
 	r := &simulatedRun{profile: p, world: w, messages: map[dev.TrafficKey]int{}}
 	r.indexLabels()
 	w.OnSend = r.countRequest
-	w.Delay = func(from string, c actor.Call) time.Duration { return p.delay(w.Place(from), w.PlaceOf(c.Addr)) }
-	w.Lag = w.Delay
+	w.RequestDelay = func(from string, c actor.Call) time.Duration { return p.delay(w.ZoneOf(from), w.ZoneOfAddr(c.Addr)) }
+	w.AnswerDelay = w.RequestDelay
 	r.measurements = newMeasurements(p, w)
 	l := newLoad(w, p, o.Seed)
 	l.onChanged = r.measurements.followChange
 	l.start()
 	var injected []string
-	scheduleFaults(w, p, w.Kill, func(description string) { injected = append(injected, description) })
+	scheduleFaults(w, p, w.CrashByLabel, func(description string) { injected = append(injected, description) })
 	w.Run(seconds(p.Run.SettleS))
 	first := r.sample()
 	w.Run(seconds(p.Run.SettleS + p.Run.MeasureS))
@@ -69,7 +69,7 @@
 // indexLabels maps the addresses of each controller to its label.
 func (r *simulatedRun) indexLabels() {
 	r.labelByAddr = map[string]string{}
-	for _, s := range r.world.Set {
+	for _, s := range r.world.Settings {
 		for _, addr := range []string{s.Bind, s.ClusterListen} {
 			r.labelByAddr[addr] = s.Label
 		}
@@ -99,15 +99,15 @@
 	leader   string
 	busy     []time.Duration
 	messages map[dev.TrafficKey]int
-	census   sim.Census
+	census   sim.Totals
 	changes  int
 	refused  int
 }
 
 func (r *simulatedRun) sample() simulatedSample {
-	s := simulatedSample{leader: r.world.State.LeaderName(), messages: map[dev.TrafficKey]int{}, census: r.world.Census(), changes: r.world.State.Changed, refused: r.world.State.Limited}
-	for i := range r.world.Set {
-		s.busy = append(s.busy, r.world.Busy(i))
+	s := simulatedSample{leader: r.world.State.LeaderName(), messages: map[dev.TrafficKey]int{}, census: r.world.Totals(), changes: r.world.State.Changes, refused: r.world.State.Limited}
+	for i := range r.world.Settings {
+		s.busy = append(s.busy, r.world.CPUTime(i))
 	}
 	for k, n := range r.messages {
 		s.messages[k] = n
@@ -122,7 +122,7 @@
 	x.State = StateResult{Changes: round(float64(last.changes-first.changes)/span, 1), Refused: round(float64(last.refused-first.refused)/span, 2), Keys: last.census.Keys}
 	for _, role := range []Role{RoleLeader, RoleOther} {
 		y := RoleResult{Role: role, Interfaces: map[dev.Interface]Rates{}}
-		for i, s := range r.world.Set {
+		for i, s := range r.world.Settings {
 			if (s.Label == last.leader) != (role == RoleLeader) {
 				continue
 			}
--- a/internal/sim/attempts.go
+++ b/internal/sim/attempts.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// teamUse is what the tasks of a team use that have not ended.
+// teamUse is the use of resources by the tasks of a team that have not ended.
 type teamUse struct{ cpus, gpus float64 }
 
-// add puts an attempt on the machine.
-func (m *Machine) add(r *runner) {
+// addAttempt puts an attempt on the machine.
+func (m *Machine) addAttempt(r *runner) {
 	m.tasks[r.key] = r
 	if r.job.attempts == nil {
 		r.job.attempts = map[*runner]struct{}{}
@@ -15,13 +15,13 @@
 	m.w.addUse(r, 1)
 }
 
-// forget removes an attempt from the machine.
-func (m *Machine) forget(r *runner) {
+// removeAttempt removes an attempt from the machine.
+func (m *Machine) removeAttempt(r *runner) {
 	delete(m.tasks, r.key)
 	delete(r.job.attempts, r)
 }
 
-// addUse counts a task for its team (1), or no more (-1).
+// addUse adds (sign 1) or removes (sign -1) the resources of a task in its team's use.
 func (w *World) addUse(r *runner, sign float64) {
 	u := w.use[r.job.team]
 	if u == nil {
@@ -32,10 +32,10 @@
 	u.gpus += sign * r.job.gpus
 }
 
-// TaskEventKind is what happened to a task.
+// TaskEventKind is the kind of a TaskEvent.
 type TaskEventKind uint8
 
-// The kinds of task events: its start command was carried out, it runs.
+// The kinds of task events: the worker executed the task's start command; the task runs.
 const (
 	TaskStarted TaskEventKind = iota
 	TaskRunning
@@ -48,12 +48,12 @@
 	Class     string
 	Task      int
 	Tasks     int           // of the job
-	Submitted time.Duration // when its user first asked
+	Submitted time.Duration // when its user first submitted the job
 	At        time.Duration
 }
 
-// tell hands a task event to whoever watches the world.
-func (w *World) tell(kind TaskEventKind, r *runner) {
+// emitTaskEvent calls OnTask with a task event.
+func (w *World) emitTaskEvent(kind TaskEventKind, r *runner) {
 	if w.OnTask != nil {
 		w.OnTask(TaskEvent{kind, r.job.id, r.job.class, r.task, r.job.tasks, r.job.Submitted, w.now})
 	}
--- a/internal/sim/away_test.go
+++ b/internal/sim/away_test.go
@@ -43,27 +43,27 @@
 				w.checkCancelled()
 				w.At(5*time.Second, func() {
 					for i := range 12 {
-						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Shape: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 3, RunS: 100,
+						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 3, RunS: 100,
 							CancelAfter: time.Duration(i%3/2) * 400 * time.Second})
 					}
 				})
-				gone := w.lease() + w.secs(4, 25)
+				gone := w.lease() + w.randomSecs(4, 25)
 				var old [][]byte
 				w.OnSend = func(from string, a actor.Call) {
 					if c.copies && a.Path == "/hello" && w.now > 40*time.Second && w.now < 60*time.Second {
 						old = append(old, bytes.Clone(a.Body))
 					}
 				}
-				w.Delay = func(_ string, a actor.Call) time.Duration {
+				w.RequestDelay = func(_ string, a actor.Call) time.Duration {
 					if c.rents && a.Path == "/hosts" && a.Method == "POST" && w.now > 50*time.Second && w.now < from {
-						return gone + w.secs(0, 10)
+						return gone + w.randomSecs(0, 10)
 					}
 					return 0
 				}
 				if c.rents {
 					w.At(53*time.Second, func() {
 						for i := range 10 {
-							w.Submit(Job{ID: fmt.Sprintf("j-8%02d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 9, RunS: 60})
+							w.Submit(Job{ID: fmt.Sprintf("j-8%02d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 9, RunS: 60})
 						}
 					})
 				}
@@ -119,7 +119,7 @@
 				if c.copies && copied == 0 {
 					t.Error("no copies came: the meeting did not come about")
 				}
-				w.Calm = from + gone + max(c.back(1), c.back(2)) + 20*time.Second
+				w.FaultsEndAt = from + gone + max(c.back(1), c.back(2)) + 20*time.Second
 				w.Run(900 * time.Second)
 				w.verdict(t, 8)
 			}
@@ -139,17 +139,17 @@
 			w := worldOf(Config{Seed: 1200 + seed, Nodes: 3})
 			w.checkCancelled()
 			w.steady("steady", 1, time.Second, 5*time.Second, 300*time.Second, func(int) Job {
-				return Job{Shape: "sweep", Team: "free", Tasks: 1, CPUs: 1, RunS: 6}
+				return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 1, RunS: 6}
 			})
 			w.At(5*time.Second, func() {
 				for i := range 6 {
-					w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 2, RunS: 400})
+					w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 2, RunS: 400})
 				}
 			})
 			tokens := map[uint64]bool{}
 			for k := range 10 {
 				w.At(from+time.Duration(k)*12*time.Second, func() {
-					w.Crash(max(0, w.Leader()), w.secs(0.1, 4))
+					w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 4))
 				})
 			}
 			for at := from; at < from+125*time.Second; at += 250 * time.Millisecond {
@@ -162,12 +162,12 @@
 			w.At(from+20*time.Second, func() {
 				for i, m := range w.Machines() {
 					if i%3 == 0 {
-						for _, r := range m.sorted() {
-							if r.job.shape == "sweep" && r.phase == "running" && r.job.tasks == 4 {
+						for _, r := range m.sortedTasks() {
+							if r.job.kind == "sweep" && r.phase == "running" && r.job.tasks == 4 {
 								dead[fmt.Sprint(r.job.id, "/", r.task)] = true
 							}
 						}
-						m.Die()
+						m.Fail()
 					}
 				}
 			})
@@ -186,7 +186,7 @@
 					}
 				}
 			})
-			w.Calm = last + 5*time.Second
+			w.FaultsEndAt = last + 5*time.Second
 			w.Run(last + 100*time.Second)
 			if first == 0 || first > 15*time.Second {
 				t.Errorf("outage %v, seed %d: the first start came %v after the last change", outage, seed, first)
--- a/internal/sim/boots_test.go
+++ b/internal/sim/boots_test.go
@@ -20,13 +20,13 @@
 			}
 			for i := range 8 { // two machines' worth each, more than there are
 				w.At(time.Duration(5+20*i)*time.Second, func() {
-					w.Submit(Job{ID: "j-" + strconv.Itoa(i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 8, CPUs: 4, RunS: 200})
+					w.Submit(Job{ID: "j-" + strconv.Itoa(i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 8, CPUs: 4, RunS: 200})
 				})
 			}
 			rented := map[string]int{}
 			w.Run(500 * time.Second)
 			for _, m := range w.Cloud.machines {
-				if m.born > 60*time.Second {
+				if m.createdAt > 60*time.Second {
 					rented[m.Zone]++
 				}
 			}
@@ -58,7 +58,7 @@
 		return 1
 	}
 	w.At(100*time.Second, func() { // the first machines have long been returned
-		w.Submit(Job{ID: "j-1", Shape: "ensemble", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 16, RunS: 20})
+		w.Submit(Job{ID: "j-1", Kind: "ensemble", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 16, RunS: 20})
 	})
 	w.Run(500 * time.Second)
 	w.verdict(t, 1)
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Cloud is the stand-in of the cloud.
+// Cloud is the stand-in for the cloud's machine service.
 type Cloud struct {
-	w           *World
-	machines    map[string]*Machine
-	byAddr      map[string]*Machine
-	byHost      map[string]*Machine
-	charters    map[string][]byte
-	next        int
-	outageUntil time.Duration
-	snaps       []snapshot // what lists show, later
-	bucket      float64
-	last        time.Duration
-	// Limited counts requests over the rate.
+	w             *World
+	machines      map[string]*Machine
+	byAddr        map[string]*Machine
+	byHost        map[string]*Machine
+	rentals       map[string][]byte // answers by request ID
+	created       int
+	outageUntil   time.Duration
+	snapshots     []snapshot // of the list, which lags
+	requestTokens float64
+	lastRequest   time.Duration
+	// Limited counts the requests over the rate limit.
 	Limited int
-	// BootFactor is how much longer than usual a machine now takes to come up in
-	// a zone, negative: it never does; nil: as usual.
+	// BootFactor returns the factor by which the boot time of a new machine in a zone is
+	// multiplied; negative: the machine never comes up. nil: 1.
 	BootFactor func(zone string) float64
-	// Lag is how much more than usual the list lags.
-	Lag time.Duration
-	// Page is the most machines on a page of the list, 0: 500. Shuffle has them in
-	// any order, some of them twice; Endless says after every page that there is
-	// another, and begins anew.
-	Page             int
-	Shuffle, Endless bool
-	// Lists counts the pages asked for.
-	Lists int
-	// Cost in machine seconds.
+	// ListLag is added to the usual lag of the list.
+	ListLag time.Duration
+	// PageSize limits the machines on a page of the list, 0: to the requested number. With
+	// Shuffle a page has a random order and one machine twice. With EndlessPages every
+	// page announces another, and after the last machine the list starts again.
+	PageSize              int
+	Shuffle, EndlessPages bool
+	// ListRequests counts the requests for a page of the list.
+	ListRequests int
+	// Cost is the total run time of machines in seconds.
 	Cost float64
 }
 
@@ -44,7 +44,8 @@
 	list []listedMachine
 }
 
-// listedMachine is a machine as the list shows it.
+// listedMachine is a machine in the list. On the wire a hull is a machine type, a yard a
+// zone, and loaners are spot machines.
 type listedMachine struct {
 	Ref     string  `json:"ref"`
 	Address string  `json:"address"`
@@ -56,19 +57,20 @@
 }
 
 func newCloud(w *World) *Cloud {
-	c := &Cloud{w: w, machines: map[string]*Machine{}, byAddr: map[string]*Machine{}, byHost: map[string]*Machine{}, charters: map[string][]byte{}, bucket: 2 * w.cfg.CloudRPS}
-	c.snap()
+	c := &Cloud{w: w, machines: map[string]*Machine{}, byAddr: map[string]*Machine{}, byHost: map[string]*Machine{}, rentals: map[string][]byte{}, requestTokens: 2 * w.cfg.CloudRPS}
+	c.takeSnapshot()
 	return c
 }
 
 func (c *Cloud) hostName() string { return "cloud" }
 func (c *Cloud) reachable() bool  { return true }
 
-// Outage makes the cloud refuse everybody.
+// Outage makes the cloud refuse all requests for a while.
 func (c *Cloud) Outage(d time.Duration) { c.outageUntil = c.w.now + d }
 
-func (c *Cloud) snap() {
-	c.w.after(time.Second, c.snap)
+// takeSnapshot records the list of machines and adds up their cost, every second.
+func (c *Cloud) takeSnapshot() {
+	c.w.after(time.Second, c.takeSnapshot)
 	var names []string
 	for n, m := range c.machines {
 		if !m.deleted && (!m.gone || c.w.now-m.goneAt < 30*time.Second || m.failed) {
@@ -85,31 +87,33 @@
 		} else if !m.up {
 			ph = "starting"
 		}
-		s.list = append(s.list, listedMachine{n, m.Addr, "big", m.Zone, m.Spot, ph, (c.w.now - m.born).Seconds()})
+		s.list = append(s.list, listedMachine{n, m.Addr, "big", m.Zone, m.Spot, ph, (c.w.now - m.createdAt).Seconds()})
 		if m.up && !m.gone {
 			c.Cost++
 		}
 	}
-	c.snaps = append(c.snaps, s)
-	if len(c.snaps) > 100 {
-		c.snaps = c.snaps[1:]
+	c.snapshots = append(c.snapshots, s)
+	if len(c.snapshots) > 100 {
+		c.snapshots = c.snapshots[1:]
 	}
 }
 
+// create makes a machine, which comes up after 0.6 to 1.5 times bootS. If bootS is
+// over 1, one in 40 never does.
 func (c *Cloud) create(zone string, spot bool, bootS float64) *Machine {
-	c.next++
-	addr := fmt.Sprintf("10.1.%d.%d:9000", c.next/250, c.next%250+1)
-	if c.w.outside != nil {
-		addr = fmt.Sprintf("%s.%d.%d:9000", c.w.cfg.Net, 2+c.next/250%250, c.next%250+1)
+	c.created++
+	addr := fmt.Sprintf("10.1.%d.%d:9000", c.created/250, c.created%250+1)
+	if c.w.transport != nil {
+		addr = fmt.Sprintf("%s.%d.%d:9000", c.w.cfg.Net, 2+c.created/250%250, c.created%250+1)
 	}
-	m := &Machine{w: c.w, Name: fmt.Sprintf("vm-%06d", c.next), Addr: addr,
-		Zone: zone, Spot: spot, born: c.w.now, tenure: 1, tasks: map[string]*runner{}, images: map[string]bool{}, node: c.w.rng.IntN(c.w.cfg.Nodes)}
+	m := &Machine{w: c.w, Name: fmt.Sprintf("vm-%06d", c.created), Addr: addr,
+		Zone: zone, Spot: spot, createdAt: c.w.now, session: 1, tasks: map[string]*runner{}, images: map[string]bool{}, node: c.w.rng.IntN(c.w.cfg.Nodes)}
 	c.machines[m.Name] = m
 	c.byAddr[m.Addr] = m
 	ip, _, _ := strings.Cut(m.Addr, ":")
 	c.byHost[ip] = m
 	if c.w.rng.IntN(40) == 0 && bootS > 1 {
-		return m // never comes up
+		return m // it never comes up
 	}
 	if c.BootFactor != nil {
 		f := c.BootFactor(zone)
@@ -118,13 +122,13 @@
 		}
 		bootS *= f
 	}
-	c.w.after(c.w.secs(bootS*0.6, bootS*1.5), func() {
+	c.w.after(c.w.randomSecs(bootS*0.6, bootS*1.5), func() {
 		if !m.gone {
 			m.up = true
-			if c.w.outside != nil {
-				c.w.outside.Up(m)
+			if c.w.transport != nil {
+				c.w.transport.Up(m)
 			}
-			m.leaseFrom = c.w.now
+			m.leaseStart = c.w.now
 			m.report()
 			m.leaseCheck()
 		}
@@ -132,7 +136,8 @@
 	return m
 }
 
-func (c *Cloud) free(zone string, spot bool) int {
+// freeCapacity is the number of further machines that can be rented in a zone.
+func (c *Cloud) freeCapacity(zone string, spot bool) int {
 	n := c.w.cfg.Capacity
 	for _, m := range c.machines {
 		if !m.gone && m.Zone == zone && m.Spot == spot {
@@ -142,25 +147,25 @@
 	return n
 }
 
-// Take removes a machine without asking, after the notice (0: none).
-func (c *Cloud) Take(m *Machine, notice time.Duration) {
+// Reclaim removes a machine without a request, after an interruption notice (0: without notice).
+func (c *Cloud) Reclaim(m *Machine, notice time.Duration) {
 	if notice > 0 {
-		m.recallAt = c.w.now + notice
-		m.changed()
+		m.interruptionAt = c.w.now + notice
+		m.reportSoon()
 	}
-	c.w.after(notice, func() { m.vanish() })
+	c.w.after(notice, func() { m.terminate() })
 }
 
 func (c *Cloud) serve(_, method, path string, body []byte, reply func(int, []byte)) {
 	w := c.w
-	c.bucket = min(2*w.cfg.CloudRPS, c.bucket+(w.now-c.last).Seconds()*w.cfg.CloudRPS)
-	c.last = w.now
-	if c.bucket < 1 {
+	c.requestTokens = min(2*w.cfg.CloudRPS, c.requestTokens+(w.now-c.lastRequest).Seconds()*w.cfg.CloudRPS)
+	c.lastRequest = w.now
+	if c.requestTokens < 1 {
 		c.Limited++
 		reply(429, []byte(`{}`))
 		return
 	}
-	c.bucket--
+	c.requestTokens--
 	if w.now < c.outageUntil {
 		reply(503, []byte(`{"error":"trouble"}`))
 		return
@@ -172,30 +177,32 @@
 			"local_gb": 40.0, "fetch_gb_per_s": 0.5, "hourly": 10.0, "low_price": 3.0, "ready_s": w.cfg.BootS, "yards": w.cfg.Zones}}}))
 	case p == "/hosts" && method == "POST":
 		var r struct {
-			Charter, Hull, Yard string
-			Loaners             bool
-			Count               int
+			RequestID string `json:"charter"`
+			Type      string `json:"hull"`
+			Zone      string `json:"yard"`
+			Spot      bool   `json:"loaners"`
+			Count     int
 		}
-		if json.Unmarshal(body, &r) != nil || r.Charter == "" || r.Hull != "big" || r.Count < 1 || r.Count > 50 {
-			w.broke("limits", "rental %s", body)
+		if json.Unmarshal(body, &r) != nil || r.RequestID == "" || r.Type != "big" || r.Count < 1 || r.Count > 50 {
+			w.reportViolation("limits", "invalid rental %s", body)
 			reply(400, []byte(`{}`))
 			return
 		}
-		if a, ok := c.charters[r.Charter]; ok {
+		if a, ok := c.rentals[r.RequestID]; ok {
 			reply(200, a)
 			return
 		}
-		n := min(r.Count, c.free(r.Yard, r.Loaners))
+		n := min(r.Count, c.freeCapacity(r.Zone, r.Spot))
 		if n <= 0 {
 			reply(503, []byte(`{"error":"no capacity"}`))
 			return
 		}
 		names := []string{}
 		for i := 0; i < n; i++ {
-			names = append(names, c.create(r.Yard, r.Loaners, w.cfg.BootS).Name)
+			names = append(names, c.create(r.Zone, r.Spot, w.cfg.BootS).Name)
 		}
 		a := mustJSON(map[string]any{"hosts": names})
-		c.charters[r.Charter] = a
+		c.rentals[r.RequestID] = a
 		reply(200, a)
 	case p == "/hosts/return":
 		var r struct{ Hosts []string }
@@ -205,7 +212,7 @@
 		}
 		for _, n := range r.Hosts {
 			if m := c.machines[n]; m != nil {
-				m.vanish()
+				m.terminate()
 				m.deleted = true
 			}
 		}
@@ -220,13 +227,13 @@
 				most, _ = strconv.Atoi(v)
 			}
 		}
-		c.Lists++
-		if c.Page > 0 {
-			most = min(most, c.Page)
+		c.ListRequests++
+		if c.PageSize > 0 {
+			most = min(most, c.PageSize)
 		}
-		lag := c.Lag + w.secs(2, 8) // the list may be older than the one before it
-		s := c.snaps[0]
-		for _, x := range c.snaps {
+		lag := c.ListLag + w.randomSecs(2, 8) // a list may be older than the previous one
+		s := c.snapshots[0]
+		for _, x := range c.snapshots {
 			if x.at <= w.now-lag {
 				s = x
 			}
@@ -243,7 +250,7 @@
 			}
 			out = append(out, x)
 		}
-		if c.Endless && !more && len(s.list) > 0 {
+		if c.EndlessPages && !more && len(s.list) > 0 {
 			out, more = s.list[:min(most, len(s.list))], true
 		}
 		if c.Shuffle && len(out) > 0 {
--- a/internal/sim/confirmed_test.go
+++ b/internal/sim/confirmed_test.go
@@ -36,7 +36,7 @@
 // their cancellation was confirmed.
 func (c confirmed) play(t *testing.T, seed uint64) (w *World, running int) {
 	t.Helper()
-	cfg := Config{Seed: seed, Nodes: c.nodes, Cancel: c.cancel, ToldLonger: c.told}
+	cfg := Config{Seed: seed, Nodes: c.nodes, Cancel: c.cancel, CancelOverstatement: c.told}
 	if cfg.Nodes == 0 {
 		cfg.Nodes = 3
 	}
@@ -47,7 +47,7 @@
 		c.lasts = 75 * s
 	}
 	old := -1
-	w.Front = func() int {
+	w.UserNode = func() int {
 		if old < 0 || w.now > start+c.outage {
 			return -1
 		}
@@ -64,11 +64,11 @@
 		w.Submit(j)
 	}
 	w.At(5*s, func() {
-		job("j-1", Job{Shape: "sweep", Tasks: 12, CPUs: 2})
-		job("j-2", Job{Shape: "ensemble", Tasks: 3, CPUs: 2, SnapshotS: 20, StowS: 4})
-		job("j-3", Job{Shape: "standing", Tasks: 4, CPUs: 1})
-		job("j-4", Job{Shape: "sweep", Tasks: 6, CPUs: 2, SnapshotS: 20, StowS: 4})
-		job("j-5", Job{Shape: "sweep", Tasks: 12, CPUs: 2}) // goes on
+		job("j-1", Job{Kind: "sweep", Tasks: 12, CPUs: 2})
+		job("j-2", Job{Kind: "ensemble", Tasks: 3, CPUs: 2, SnapshotS: 20, SaveS: 4})
+		job("j-3", Job{Kind: "standing", Tasks: 4, CPUs: 1})
+		job("j-4", Job{Kind: "sweep", Tasks: 6, CPUs: 2, SnapshotS: 20, SaveS: 4})
+		job("j-5", Job{Kind: "sweep", Tasks: 12, CPUs: 2}) // goes on
 	})
 	answered, reports, gone := 0, 0, 0
 	w.At(start, func() {
@@ -95,7 +95,7 @@
 			}
 		}
 	})
-	w.Lag = func(from string, a actor.Call) time.Duration {
+	w.AnswerDelay = func(from string, a actor.Call) time.Duration {
 		if c.late > 0 && w.now > start+c.asked && w.now < start+c.outage && a.Path == "/commit" && len(a.Body) > 300 && from != w.NodeName(old) {
 			return c.late
 		}
@@ -107,7 +107,7 @@
 		}
 		if c.twice && w.now > start+c.asked && a.Path == "/commit" && a.Addr == stateAddr && from != w.NodeName(max(0, old)) {
 			body := append([]byte(nil), a.Body...)
-			w.after(w.secs(0.3, 5), func() { w.State.serve(from, "POST", "/commit", body, func(int, []byte) {}) })
+			w.after(w.randomSecs(0.3, 5), func() { w.State.serve(from, "POST", "/commit", body, func(int, []byte) {}) })
 		}
 	}
 	w.At(start+c.asked, func() {
@@ -153,7 +153,7 @@
 	if gone < 4 || running == 0 {
 		t.Errorf("%s, seed %d: %d of 4 cancellations were confirmed before the outage, %d tasks ran then: the meeting did not happen", c.name, seed, gone, running)
 	}
-	if n := w.Answered[old] - answered; !c.gaveWay() && (reports == 0 || n == 0 && w.cancelWithin() > w.lease()+6*s) {
+	if n := w.Answered[old] - answered; !c.gaveWay() && (reports == 0 || n == 0 && w.cancelDeadline() > w.lease()+6*s) {
 		t.Errorf("%s, seed %d: %d reports came to the old leader in the outage, %d were answered: the meeting did not happen", c.name, seed, reports, n)
 	}
 	w.Run(400 * s)
@@ -209,7 +209,7 @@
 			longest, ran, kept, killed := time.Duration(0), 0, 0, 0
 			for _, seed := range seeds(t, 3) {
 				w, n := c.play(t, 300+seed)
-				for _, b := range w.Broken {
+				for _, b := range w.Violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				longest, ran = max(longest, w.LongestCancelled), ran+n
@@ -234,7 +234,7 @@
 			c := confirmedDays()[6] // cut from the others
 			c.told = told
 			w, _ := c.play(t, 300+seed)
-			if len(w.Broken) > 0 {
+			if len(w.Violations) > 0 {
 				broken++
 			}
 		}
--- a/internal/sim/copies_test.go
+++ b/internal/sim/copies_test.go
@@ -22,7 +22,7 @@
 		w := world(45000 + seed)
 		w.checkCancelled()
 		w.steady("short", 1, 1200*time.Millisecond, 5*time.Second, 240*time.Second, func(i int) Job {
-			j := Job{Shape: "sweep", Team: "red", Tasks: 3, CPUs: 8, RunS: float64(4 + i%6)}
+			j := Job{Kind: "sweep", Team: "red", Tasks: 3, CPUs: 8, RunS: float64(4 + i%6)}
 			if i%16 == 0 { // some tasks are done, others wait, when it is cancelled
 				j.Tasks, j.CancelAfter = 60, 25*time.Second
 			}
@@ -30,7 +30,7 @@
 		})
 		// Others' work comes and goes, so that machines have room when the team is at its limit.
 		w.steady("others", 2, 4*time.Second, 5*time.Second, 300*time.Second, func(i int) Job {
-			return Job{Shape: "sweep", Team: "free", Tasks: 1 + i%12, CPUs: 6, RunS: float64(5 + i%9)}
+			return Job{Kind: "sweep", Team: "free", Tasks: 1 + i%12, CPUs: 6, RunS: float64(5 + i%9)}
 		})
 		w.OnSend = func(from string, c actor.Call) {
 			m := w.Cloud.byAddr[c.Addr]
@@ -42,19 +42,19 @@
 				if !m.reachable() {
 					return
 				}
-				l := w.look()
+				l := w.view()
 				for _, j := range w.doneOf(m, body) {
 					if l.use[j.team][0]+j.cpus > 160 && l.free[m][0] >= j.cpus {
 						atLimit++
 					}
-					if j.cancelledAt > 0 && w.now > j.cancelledAt+w.cancelWithin() {
+					if j.cancelledAt > 0 && w.now > j.cancelledAt+w.cancelDeadline() {
 						cancelled++
 					}
 				}
 				m.serve(from, c.Method, c.Path, body, func(int, []byte) {})
 			}
 			for range 3 {
-				w.after(w.secs(2, 240), copied)
+				w.after(w.randomSecs(2, 240), copied)
 			}
 		}
 		if seed%2 == 0 {
@@ -76,11 +76,11 @@
 		Baton, Tenure uint64
 		Orders        []order
 	}
-	if json.Unmarshal(body, &r) != nil || r.Baton < m.baton || r.Tenure != m.tenure {
+	if json.Unmarshal(body, &r) != nil || r.Baton < m.token || r.Tenure != m.session {
 		return nil
 	}
 	for _, o := range r.Orders {
-		id, n, _ := strings.Cut(o.Shard, "/")
+		id, n, _ := strings.Cut(o.Task, "/")
 		task, _ := strconv.Atoi(n)
 		if j := w.jobs[id]; o.Verb == "start" && j != nil && j.results[task] {
 			out = append(out, j)
--- a/internal/sim/door_test.go
+++ b/internal/sim/door_test.go
@@ -13,8 +13,8 @@
 // nothing changed.
 func TestServiceDoor(t *testing.T) {
 	w := serviceWorld(t, Config{Seed: 95}, 4)
-	w.Submit(Job{ID: "j-5", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 500})
-	w.Submit(Job{ID: "j-6", Shape: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 10, CPUs: 16})
+	w.Submit(Job{ID: "j-5", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 500})
+	w.Submit(Job{ID: "j-6", Kind: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 10, CPUs: 16})
 	w.Run(w.now + 20*time.Second)
 	changed := func() int {
 		n := 0
@@ -82,10 +82,10 @@
 	w.State.epoch++
 	w.State.keys["b/s/broken"] = &stateKey{json.RawMessage(`{"v":9}`), w.State.epoch, 0}
 	w.State.record(stateEvent{Write: "b/s/broken", Value: json.RawMessage(`{"v":9}`), Stamp: w.State.epoch})
-	w.State.notify()
+	w.State.notifyWatches()
 	w.Run(w.now + 3*time.Second)
 	asked := 0
-	w.ask("POST", "/services/broken/abort", nil, 5*time.Second, func(a actor.Answer) {
+	w.request("POST", "/services/broken/abort", nil, 5*time.Second, func(a actor.Answer) {
 		if asked = a.Status; a.Status != 503 || !strings.Contains(string(a.Body), "can't be read") {
 			t.Errorf("an unreadable record: %d %s", a.Status, a.Body)
 		}
@@ -102,7 +102,7 @@
 func TestAfter(t *testing.T) {
 	for _, c := range []struct{ image, state string }{{"web:good", "done"}, {"web:bad", "rolled back"}} {
 		w := serviceWorld(t, Config{Seed: 96}, 4)
-		w.Submit(Job{ID: "j-6", Shape: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 4, CPUs: 2})
+		w.Submit(Job{ID: "j-6", Kind: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 4, CPUs: 2})
 		w.Run(w.now + 30*time.Second)
 		w.mustRollout(t, Version{Service: "shop", Job: next("j-2", c.image, 4), From: "j-1", Surge: 1, Plan: map[string]any{"bake_s": 5.0}, Health: health})
 		w.Run(w.now + 3*time.Second)
@@ -112,18 +112,18 @@
 		w.mustRollout(t, Version{Service: "till", Job: red, From: "j-6", Surge: 1, Plan: map[string]any{"after": "shop"}, Health: other})
 		for w.now < 20*time.Minute {
 			w.Run(w.now + time.Second)
-			shop, _, _ := w.Past("shop", 1)
+			shop, _, _ := w.PastRollout("shop", 1)
 			if r := w.ServiceRecord("till"); shop == "" && r.R != nil && r.R.S != "waiting" {
 				t.Fatalf("till is %s while shop's roll-out is under way", r.R.S)
 			}
-			if state, why, _ := w.Past("till", 1); state != "" {
+			if state, why, _ := w.PastRollout("till", 1); state != "" {
 				if state != c.state || state == "rolled back" && !strings.Contains(why, "not begun") {
 					t.Errorf("till: %q because %q", state, why)
 				}
 				break
 			}
 		}
-		if state, _, _ := w.Past("till", 1); state == "" {
+		if state, _, _ := w.PastRollout("till", 1); state == "" {
 			t.Error("till's roll-out doesn't end")
 		}
 		w.noneBroken(t)
--- a/internal/sim/ends_test.go
+++ b/internal/sim/ends_test.go
@@ -18,8 +18,8 @@
 	h := make([]porcupine.Operation, 0, len(w.Ops))
 	open := map[[2]any]bool{}
 	for i, op := range w.Ops {
-		ret := int64(op.Ret)
-		if op.Ret == never {
+		ret := int64(op.Return)
+		if op.Return == noReturn {
 			ret = math.MaxInt64
 			unknown++
 			// What one of them may do later, another of its kind can't do again.
@@ -29,7 +29,7 @@
 				open[k] = true
 			}
 		}
-		h = append(h, porcupine.Operation{ClientId: i, Input: op, Output: op.Told, Call: int64(op.Call), Return: ret})
+		h = append(h, porcupine.Operation{ClientId: i, Input: op, Output: op.State, Call: int64(op.Call), Return: ret})
 	}
 	if r := porcupine.CheckOperationsTimeout(jobModel, h, 20*time.Second); r != porcupine.Ok {
 		t.Errorf("seed %d: the history of %d operations: %v", seed, len(h), r)
@@ -62,29 +62,29 @@
 	} {
 		for _, seed := range seeds(t, 2) {
 			w := worldOf(Config{Seed: 990 + seed, Nodes: 3})
-			w.Record = true
+			w.RecordOps = true
 			w.checkCancelled()
 			w.Run(10 * time.Second)
-			w.LateWrites(c.late, 200*time.Second)
-			w.Lag = func(from string, a actor.Call) time.Duration {
+			w.DelayWrites(c.late, 200*time.Second)
+			w.AnswerDelay = func(from string, a actor.Call) time.Duration {
 				switch {
 				case c.lag > 0 && from != w.NodeName(0) && strings.HasPrefix(a.Path, "/changes"):
-					return w.secs(0, c.lag.Seconds())
+					return w.randomSecs(0, c.lag.Seconds())
 				case c.lost > 0 && a.Path == "/commit" && strings.Contains(string(a.Body), `"write"`) && w.rng.Float64() < c.lost:
 					return 20 * time.Second
 				}
 				return 0
 			}
 			for i := range 60 {
-				w.At(w.secs(10, 90), func() {
-					w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Shape: []string{"sweep", "ensemble", "sweep"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%3, CPUs: 1, RunS: 2 + float64(i%7)})
+				w.At(w.randomSecs(10, 90), func() {
+					w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "sweep"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%3, CPUs: 1, RunS: 2 + float64(i%7)})
 				})
 			}
 			// At the moment of the end, and within what it takes to become durable.
 			w.OnEnd = func(j *userJob) {
-				d := []time.Duration{0, w.secs(0, 0.02), w.secs(0, 0.2), w.secs(0, 1.2)}[w.rng.IntN(4)]
+				d := []time.Duration{0, w.randomSecs(0, 0.02), w.randomSecs(0, 0.2), w.randomSecs(0, 1.2)}[w.rng.IntN(4)]
 				for k := range w.nodes {
-					at := d + w.secs(0, 0.05)*time.Duration(w.rng.IntN(2))
+					at := d + w.randomSecs(0, 0.05)*time.Duration(w.rng.IntN(2))
 					w.after(at, func() {
 						if w.rng.IntN(3) > 0 {
 							w.cancelAt(k, j)
@@ -97,16 +97,16 @@
 				}
 			}
 			w.Run(200 * time.Second)
-			w.Lag = nil
+			w.AnswerDelay = nil
 			w.Run(400 * time.Second)
 			w.noneBroken(t)
 			n, _ := w.linearizable(t, seed)
 			total += n
 			for _, j := range w.jobs {
 				switch {
-				case j.toldDone && j.cancelledAt > 0:
+				case j.reportedDone && j.cancelledAt > 0:
 					t.Errorf("%s, seed %d: %s was called both done and cancelled", c.name, seed, j.id)
-				case j.toldDone:
+				case j.reportedDone:
 					done++
 				case j.cancelledAt > 0:
 					cancelled++
@@ -129,18 +129,18 @@
 }
 func (w *World) pollAt(k int, j *userJob) { w.askAt(k, j, OpPoll, "GET", "/v2/runs/"+j.id, nil) }
 func (w *World) submitAt(k int, j *userJob) {
-	w.askAt(k, j, OpSubmit, "POST", "/v2/runs", j.body)
+	w.askAt(k, j, OpSubmit, "POST", "/v2/runs", j.submission)
 }
 
 func (w *World) askAt(k int, j *userJob, op int, method, path string, body []byte) {
 	asked := w.now
 	w.send("users", actor.Call{Addr: w.nodes[k].addr, Method: method, Path: path, Body: body, Timeout: 5 * time.Second, Done: func(a actor.Answer) {
-		w.record(j, op, asked, a)
+		w.recordOp(j, op, asked, a)
 		switch {
 		case a.Err == nil && (a.Status == 200 || a.Status == 201):
-			w.answer(j, a.Body, asked)
+			w.checkAnswer(j, a.Body, asked)
 		case a.Err == nil && (a.Status == 404 || a.Status == 400 || a.Status == 422):
-			w.broke("forgotten", "%s %s of %s got %d", method, path, j.id, a.Status)
+			w.reportViolation("forgotten", "%s %s of %s got %d", method, path, j.id, a.Status)
 		}
 	}})
 }
--- a/internal/sim/estimates_test.go
+++ b/internal/sim/estimates_test.go
@@ -20,12 +20,12 @@
 				Teams: []settings.Team{{Name: "free"}}, Objectives: []settings.Objective{{Kind: "deadline", Class: "c-sweep", Times: 1}}})
 			done := map[string]time.Duration{}
 			n := 0
-			for at := 3 * time.Second; at < 600*time.Second; at += w.secs(1, 5) {
+			for at := 3 * time.Second; at < 600*time.Second; at += w.randomSecs(1, 5) {
 				run := 20 + 60*w.rng.Float64()
 				id := fmt.Sprintf("j-%04d", n)
 				n++
 				w.At(at, func() {
-					w.Submit(Job{ID: id, Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + w.rng.IntN(12), CPUs: 4, RunS: run,
+					w.Submit(Job{ID: id, Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + w.rng.IntN(12), CPUs: 4, RunS: run,
 						ExpectS: run * wrong, DueS: 3*run + 20, Spot: true})
 				})
 			}
@@ -37,7 +37,7 @@
 					}
 				}
 			}
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
 			for id, j := range w.jobs {
--- a/internal/sim/events.go
+++ b/internal/sim/events.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// event is a function to run at a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -30,18 +31,19 @@
 	return e
 }
 
+// after runs f when d has passed.
 func (w *World) after(d time.Duration, f func()) {
 	w.seq++
 	heap.Push(&w.events, &event{w.now + max(0, d), w.seq, f})
 }
 
-// At runs f at a time of the day.
+// At runs f at a time of the simulation.
 func (w *World) At(t time.Duration, f func()) { w.after(t-w.now, f) }
 
-// Now is the true time.
+// Now is the time of the simulation, which the clocks of hosts may deviate from.
 func (w *World) Now() time.Duration { return w.now }
 
-// Run plays until the given time, checking the rules after each step.
+// Run executes all events up to the given time.
 func (w *World) Run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(*event)
--- a/internal/sim/facts.go
+++ b/internal/sim/facts.go
@@ -7,8 +7,8 @@
 	"brooklb/internal/actor"
 )
 
-// Census counts what there is at one moment.
-type Census struct {
+// Totals are counts of the stand-ins at one moment.
+type Totals struct {
 	Workers int `json:"workers"` // that are up
 	Running int `json:"running_tasks"`
 	Waiting int `json:"waiting_tasks"` // fetching an image, or for their gang
@@ -16,9 +16,9 @@
 	Jobs    int `json:"accepted_jobs"`
 }
 
-// Census looks at the stand-ins.
-func (w *World) Census() Census {
-	c := Census{Keys: len(w.State.keys)}
+// Totals counts workers, tasks, keys and jobs.
+func (w *World) Totals() Totals {
+	c := Totals{Keys: len(w.State.keys)}
 	for _, m := range w.Cloud.machines {
 		if !m.reachable() {
 			continue
@@ -41,11 +41,12 @@
 	return c
 }
 
-// Busy is how long a simulated controller has computed (Config.MeterCPU).
-func (w *World) Busy(node int) time.Duration { return w.nodes[node].busy }
+// CPUTime is the processor time that a simulated controller has used (Config.MeterCPU).
+func (w *World) CPUTime(node int) time.Duration { return w.nodes[node].cpuTime }
 
-// Kill ends a simulated controller's process by its label; it is back after d.
-func (w *World) Kill(label string, d time.Duration) {
+// CrashByLabel ends the process of the simulated controller with a label and starts it again
+// after d.
+func (w *World) CrashByLabel(label string, d time.Duration) {
 	for i, s := range w.nodes {
 		if s.host == label {
 			w.Crash(i, d)
@@ -53,12 +54,13 @@
 	}
 }
 
-// WatchCancelled looks for tasks that outlive the cancellation of their job.
+// WatchCancelled starts to look for tasks that run after the deadline of their job's
+// cancellation.
 func (w *World) WatchCancelled() { w.checkCancelled() }
 
-// Counts asks a controller for the counts of all counted resources that it knows; done
-// gets nil if it doesn't answer.
-func (w *World) Counts(node int, done func(counts map[string]int)) {
+// UnitCounts requests from a controller the counts of all counted resources that it knows;
+// done gets nil if the controller doesn't answer.
+func (w *World) UnitCounts(node int, done func(counts map[string]int)) {
 	w.send("users", actor.Call{Addr: w.nodes[node].addr, Method: "GET", Path: "/units", Timeout: 2 * time.Second, Done: func(a actor.Answer) {
 		var list struct {
 			Units []struct {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -18,8 +18,8 @@
 		RPS: 250, WriteRPS: 30, CloudRPS: 6, Teams: []settings.Team{{Name: "free"}}})
 	for i := range machines * 8 / 100 {
 		w.At(time.Duration(2000+100*i)*time.Millisecond, func() {
-			w.Submit(Job{ID: fmt.Sprintf("j-%05d", i), Shape: "sweep", Team: "free", Image: fmt.Sprint("i", i%10), ImageGB: 0.1, Tasks: 100, CPUs: 1.9,
-				RunS: 1000, SnapshotS: 10, StowS: 1})
+			w.Submit(Job{ID: fmt.Sprintf("j-%05d", i), Kind: "sweep", Team: "free", Image: fmt.Sprint("i", i%10), ImageGB: 0.1, Tasks: 100, CPUs: 1.9,
+				RunS: 1000, SnapshotS: 10, SaveS: 1})
 		})
 	}
 	w.Run(40*time.Second + time.Duration(machines*8/100)*100*time.Millisecond)
@@ -71,11 +71,11 @@
 	}
 	w.after(time.Second, func() { // work that waits for the new leader
 		for i := range 20 {
-			w.Submit(Job{ID: fmt.Sprintf("j-9%04d", i), Shape: "sweep", Team: "free", Image: "i0", ImageGB: 0.1, Tasks: 1, CPUs: 0.01, RunS: 5})
+			w.Submit(Job{ID: fmt.Sprintf("j-9%04d", i), Kind: "sweep", Team: "free", Image: "i0", ImageGB: 0.1, Tasks: 1, CPUs: 0.01, RunS: 5})
 		}
 	})
 	w.Run(crashed + 40*time.Second)
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 	if first == 0 || first-crashed > 3*time.Second+restart+3*time.Second {
@@ -104,7 +104,7 @@
 			w.Run(w.now + 100*time.Millisecond)
 			bodies = bodies[:0]
 			for i := range cap(bodies) {
-				bodies = append(bodies, ms[(n+i)%len(ms)].body())
+				bodies = append(bodies, ms[(n+i)%len(ms)].reportBody())
 			}
 			b.StartTimer()
 		}
@@ -144,17 +144,17 @@
 	most, asked := 0.0, w.now
 	w.At(asked+time.Second, func() {
 		for i := range 30 {
-			w.Submit(Job{ID: fmt.Sprintf("j-8%04d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 4, RunS: 5})
+			w.Submit(Job{ID: fmt.Sprintf("j-8%04d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 4, RunS: 5})
 		}
 	})
 	for w.now < asked+25*time.Second {
 		w.Run(w.now + 5*time.Second)
 		// What the stand-in of the cloud remembers for its lagging lists is left out.
-		n := len(w.Cloud.snaps)
-		w.Cloud.snaps = append([]snapshot(nil), w.Cloud.snaps[n-1])
+		n := len(w.Cloud.snapshots)
+		w.Cloud.snapshots = append([]snapshot(nil), w.Cloud.snapshots[n-1])
 		most = max(most, heapMB()-before)
 	}
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 	if w.Done < 30 {
--- a/internal/sim/flood_test.go
+++ b/internal/sim/flood_test.go
@@ -15,7 +15,7 @@
 	for at := from; at < to; at += every {
 		d := job(n)
 		d.ID, d.Class, d.Image, d.ImageGB = fmt.Sprintf("j-%06d", 100000*block+n), class, "i", 0.1
-		w.At(at+w.secs(0, every.Seconds()), func() { w.Submit(d) })
+		w.At(at+w.randomSecs(0, every.Seconds()), func() { w.Submit(d) })
 		n++
 	}
 	return n
@@ -61,7 +61,7 @@
 		// Two of three run the older program until they are restarted, one by one.
 		for i := range 2 {
 			w.after(time.Duration(10*i)*time.Second, func() {
-				delete(w.Older, w.NodeName(i))
+				delete(w.OlderNodes, w.NodeName(i))
 				w.Crash(i, 4*time.Second)
 			})
 		}
@@ -85,21 +85,21 @@
 			t.Parallel()
 			w := worldOf(Config{Seed: uint64(500 + i), Nodes: f.nodes, WriteRPS: 30})
 			if f.front != nil {
-				w.Front = func() int { return f.front(w) }
+				w.UserNode = func() int { return f.front(w) }
 			}
-			w.Patience = time.Minute
+			w.SubmitTimeout = time.Minute
 			if f.name == "an upgrade" {
-				w.Older = map[string]bool{w.NodeName(0): true, w.NodeName(1): true}
+				w.OlderNodes = map[string]bool{w.NodeName(0): true, w.NodeName(1): true}
 			}
 			const from, to = 30 * time.Second, 70 * time.Second
 			w.steady("flood", 1, 33*time.Millisecond, from, to, func(i int) Job {
-				return Job{Shape: "sweep", Team: "free", Tasks: 3, CPUs: 1, RunS: 5, Spot: true, Urgency: "idle"}
+				return Job{Kind: "sweep", Team: "free", Tasks: 3, CPUs: 1, RunS: 5, Spot: true, Urgency: "idle"}
 			})
 			w.steady("steady", 2, 3*time.Second, 5*time.Second, 120*time.Second, func(i int) Job {
-				return Job{Shape: "sweep", Team: "red", Tasks: 4, CPUs: 1, RunS: 8, Spot: true}
+				return Job{Kind: "sweep", Team: "red", Tasks: 4, CPUs: 1, RunS: 8, Spot: true}
 			})
 			w.steady("urgent", 3, 5*time.Second, 5*time.Second, 120*time.Second, func(i int) Job {
-				return Job{Shape: "ensemble", Team: "blue", Tasks: 2, CPUs: 8, RunS: 10, Spot: true, Urgency: "high"}
+				return Job{Kind: "ensemble", Team: "blue", Tasks: 2, CPUs: 8, RunS: 10, Spot: true, Urgency: "high"}
 			})
 			w.At(50*time.Second, func() { f.trouble(w) })
 			most, limit, quiet := 0.0, 0.95*30, time.Duration(0)
@@ -107,7 +107,7 @@
 				w.Run(w.now + 50*time.Millisecond)
 				most = max(most, w.Shares())
 				if l := w.Leader(); l >= 0 {
-					quiet = max(quiet, w.nodes[l].n.Quiet())
+					quiet = max(quiet, w.nodes[l].node.Quiet())
 				}
 			}
 			if most > limit+1e-6 {
@@ -139,7 +139,7 @@
 					t.Errorf("%s jobs were accepted after up to %v", class, d)
 				}
 			}
-			t.Logf("%v; at most %.1f of %.1f changes a second held; %d times told to come back; quiet for %v", w.Served(), most, limit, w.Turned, quiet)
+			t.Logf("%v; at most %.1f of %.1f changes a second held; %d times told to come back; quiet for %v", w.Served(), most, limit, w.RetryLater, quiet)
 		})
 	}
 }
@@ -153,13 +153,13 @@
 	for _, without := range []bool{false, true} {
 		least := 1.0
 		for seed := range uint64(2) {
-			w := worldOf(Config{Seed: 600 + seed, Nodes: 3, NoFloors: without, Objectives: []settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 20, Share: 0.9}}})
+			w := worldOf(Config{Seed: 600 + seed, Nodes: 3, NoMinShares: without, Objectives: []settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 20, Share: 0.9}}})
 			w.steady("urgent", 3, 400*time.Millisecond, 10*time.Second, 320*time.Second, func(i int) Job {
-				return Job{Shape: "ensemble", Team: "free", Tasks: 1, CPUs: 16, RunS: 60, Spot: true, Urgency: "high", SnapshotS: 5, StowS: 1}
+				return Job{Kind: "ensemble", Team: "free", Tasks: 1, CPUs: 16, RunS: 60, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 1}
 			})
 			for k, team := range []string{"free", "red"} {
 				w.steady("slow", 4+k, 6*time.Second, 60*time.Second, 280*time.Second, func(i int) Job {
-					return Job{Shape: "sweep", Team: team, Tasks: 2 + 5*(i%4), CPUs: 2, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, StowS: 1}
+					return Job{Kind: "sweep", Team: team, Tasks: 2 + 5*(i%4), CPUs: 2, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 1}
 				})
 			}
 			w.At(120*time.Second, func() {
--- a/internal/sim/forward_test.go
+++ b/internal/sim/forward_test.go
@@ -74,7 +74,7 @@
 			w, p := spreadWorld(80000 + s)
 			w.Workload(60, 200*time.Second)
 			for range 8 {
-				w.At(w.secs(5, 300), w.trouble)
+				w.At(w.randomSecs(5, 300), w.trouble)
 			}
 			w.calmAfter(400 * time.Second)
 			w.Run(1500 * time.Second)
@@ -100,20 +100,20 @@
 	// calm: no task may lose its lease.
 	calm bool
 }{
-	{"ends with orders in hand", func(w *World) { w.Crash(w.notLeading(), w.secs(0.05, 10)) }, true},
-	{"is paused", func(w *World) { w.Freeze(w.notLeading(), w.secs(1, 25)) }, false},
-	{"cut from the others, packets held", func(w *World) { w.CutPeers(w.notLeading(), w.secs(2, 40), true) }, false},
-	{"cut from the others, connections reset", func(w *World) { w.CutPeers(w.notLeading(), w.secs(2, 40), false) }, false},
+	{"ends with orders in hand", func(w *World) { w.Crash(w.notLeading(), w.randomSecs(0.05, 10)) }, true},
+	{"is paused", func(w *World) { w.Freeze(w.notLeading(), w.randomSecs(1, 25)) }, false},
+	{"cut from the others, packets held", func(w *World) { w.CutPeers(w.notLeading(), w.randomSecs(2, 40), true) }, false},
+	{"cut from the others, connections reset", func(w *World) { w.CutPeers(w.notLeading(), w.randomSecs(2, 40), false) }, false},
 	{"the leader is cut from the others and another leads", func(w *World) {
 		l := max(0, w.Leader())
 		w.CutPeers(l, 30*time.Second, w.rng.IntN(2) == 0)
 		w.State.RefuseNode(w.NodeName(l), 20*time.Second)
 	}, false},
-	{"the leader ends", func(w *World) { w.Crash(max(0, w.Leader()), w.secs(0.05, 5)) }, true},
-	{"the leader is paused", func(w *World) { w.Freeze(max(0, w.Leader()), w.secs(1, 12)) }, false},
+	{"the leader ends", func(w *World) { w.Crash(max(0, w.Leader()), w.randomSecs(0.05, 5)) }, true},
+	{"the leader is paused", func(w *World) { w.Freeze(max(0, w.Leader()), w.randomSecs(1, 12)) }, false},
 	{"a lease and more without leaders", func(w *World) {
 		for i := range w.nodes {
-			w.Crash(i, w.lease()+w.secs(1, 10))
+			w.Crash(i, w.lease()+w.randomSecs(1, 10))
 		}
 	}, false},
 }
@@ -128,11 +128,11 @@
 				t.Parallel()
 				w, p := spreadWorld(90000 + 100*uint64(i) + s)
 				if !trouble.calm {
-					w.Stuck, w.Copies = 400, 100
+					w.StallOneIn, w.DuplicateOneIn = 400, 100
 				}
 				w.Workload(50, 200*time.Second)
 				for k := range 8 {
-					w.At(time.Duration(20+30*k)*time.Second+w.secs(0, 10), func() { trouble.make(w) })
+					w.At(time.Duration(20+30*k)*time.Second+w.randomSecs(0, 10), func() { trouble.make(w) })
 				}
 				w.calmAfter(330 * time.Second)
 				w.Run(1200 * time.Second)
@@ -154,10 +154,10 @@
 			t.Parallel()
 			w, _ := spreadWorld(95000 + s)
 			w.Workload(50, 200*time.Second)
-			w.Older = map[string]bool{}
+			w.OlderNodes = map[string]bool{}
 			older := func(n int) {
 				for i := range w.nodes {
-					w.Older[w.NodeName(i)] = (i+int(s))%len(w.nodes) < n
+					w.OlderNodes[w.NodeName(i)] = (i+int(s))%len(w.nodes) < n
 				}
 			}
 			n := len(w.nodes)
@@ -169,7 +169,7 @@
 			}
 			w.At(100*time.Second, func() {
 				for i := range w.nodes {
-					w.Crash(i, w.secs(0.1, 6))
+					w.Crash(i, w.randomSecs(0.1, 6))
 				}
 			})
 			w.calmAfter(260 * time.Second)
@@ -185,7 +185,7 @@
 	w := New(Config{Seed: 5, Nodes: 5, Zones: []string{"a", "b", "c"}, Capacity: 300, Initial: 300, CPUs: 16, GPUs: 4, BootS: 15, Sockets: 400,
 		RPS: 250, WriteRPS: 60, CloudRPS: 6, Teams: []settings.Team{{Name: "free"}}})
 	w.steady("work", 3, 2*time.Second, 2*time.Second, 100*time.Second, func(int) Job {
-		return Job{Shape: "sweep", Team: "free", Tasks: 30, CPUs: 8, RunS: 60}
+		return Job{Kind: "sweep", Team: "free", Tasks: 30, CPUs: 8, RunS: 60}
 	})
 	at := make([]int, len(w.nodes))
 	w.OnSend = func(from string, c actor.Call) {
@@ -222,7 +222,7 @@
 	if w.KilledByLease > killed {
 		t.Errorf("%d tasks were killed by their lease", w.KilledByLease-killed)
 	}
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 }
--- a/internal/sim/further_test.go
+++ b/internal/sim/further_test.go
@@ -24,19 +24,19 @@
 		}
 		for _, m := range w.Machines() {
 			if r.Float64() < share && (zone == "" || m.Zone == zone) {
-				m.Mute(d)
+				m.BlockOutbound(d)
 			}
 		}
 	case 1: // many cancel at once, machines hang for up to just above a lease
-		hang := []time.Duration{0, w.secs(1, 20), w.secs(20, 1.05*w.lease().Seconds())}[r.IntN(3)]
-		w.CancelNow(1+r.IntN(12), hang)
+		hang := []time.Duration{0, w.randomSecs(1, 20), w.randomSecs(20, 1.05*w.lease().Seconds())}[r.IntN(3)]
+		w.CancelRunning(1+r.IntN(12), hang)
 	case 2:
 		w.CancelAtEnd(0.2+0.8*r.Float64(), d)
 	case 3:
-		w.OddRequests(d)
+		w.UnusualRequests(d)
 	case 4:
 		a, b := r.IntN(kinds), r.IntN(kinds)
-		lo := w.secs(0.05, 3).Seconds()
+		lo := w.randomSecs(0.05, 3).Seconds()
 		w.SlowLinks(a, b, lo, lo+1, d)
 	case 5: // more work than room over slow links between controllers and workers
 		w.SlowLinks(KindNode, KindMachine, 0.5, 2, d)
@@ -52,19 +52,19 @@
 			w.after(time.Duration(k)*12*time.Second, func() { w.Crash(max(0, w.Leader()), w.soon()) })
 		}
 	case 7: // all away for longer than a lease; back at once, one by one, one alone for a minute
-		away, how := w.lease()+w.secs(1, 20), r.IntN(3)
+		away, how := w.lease()+w.randomSecs(1, 20), r.IntN(3)
 		for i := range n {
-			w.Crash(i, away+[]time.Duration{0, time.Duration(i) * w.secs(1, 8), time.Duration(min(i, 1)) * time.Minute}[how])
+			w.Crash(i, away+[]time.Duration{0, time.Duration(i) * w.randomSecs(1, 8), time.Duration(min(i, 1)) * time.Minute}[how])
 		}
 	case 8: // a zone with workers and perhaps a controller is cut off for longer than a lease
-		w.CutZone(w.cfg.Zones[r.IntN(len(w.cfg.Zones))], w.lease()+w.secs(1, 40), r.IntN(3) > 0)
+		w.CutZone(w.cfg.Zones[r.IntN(len(w.cfg.Zones))], w.lease()+w.randomSecs(1, 40), r.IntN(3) > 0)
 	case 9: // cancelled as the leader is refused, out for all a second later
-		w.State.RefuseNode(w.NodeName(l), w.secs(1, 100))
-		hang := []time.Duration{0, w.secs(0.9, 1.03) * time.Duration(w.lease().Seconds())}[r.IntN(2)]
-		w.after(w.secs(0, 0.2), func() { w.CancelNow(8, hang) })
-		w.after(w.secs(0.8, 1.2), func() { w.State.Outage(w.cancelWithin() + w.secs(-10, 20)) })
+		w.State.RefuseNode(w.NodeName(l), w.randomSecs(1, 100))
+		hang := []time.Duration{0, w.randomSecs(0.9, 1.03) * time.Duration(w.lease().Seconds())}[r.IntN(2)]
+		w.after(w.randomSecs(0, 0.2), func() { w.CancelRunning(8, hang) })
+		w.after(w.randomSecs(0.8, 1.2), func() { w.State.Outage(w.cancelDeadline() + w.randomSecs(-10, 20)) })
 		if r.IntN(3) == 0 {
-			w.after(w.secs(0.2, 1.5), func() { w.Crash(r.IntN(n), w.soon()) })
+			w.after(w.randomSecs(0.2, 1.5), func() { w.Crash(r.IntN(n), w.soon()) })
 		}
 		if r.IntN(3) == 0 {
 			w.CutPeers(l, d, r.IntN(2) == 0)
@@ -72,19 +72,19 @@
 	case 10: // single reports are held up until a new leader has acted
 		late := map[string]time.Duration{}
 		until := w.now + 20*time.Second
-		w.Delay = func(from string, c actor.Call) time.Duration {
+		w.RequestDelay = func(from string, c actor.Call) time.Duration {
 			if c.Path != "/hello" || w.now > until || late[from] > 0 || w.rng.IntN(3) > 0 {
 				return 0
 			}
-			late[from] = w.secs(3, 25)
+			late[from] = w.randomSecs(3, 25)
 			return late[from]
 		}
-		w.after(w.secs(0, 3), func() { w.Crash(max(0, w.Leader()), w.soon()) })
+		w.after(w.randomSecs(0, 3), func() { w.Crash(max(0, w.Leader()), w.soon()) })
 	case 11: // a zone loses all its machines, or half of them
 		zone, most := w.cfg.Zones[r.IntN(len(w.cfg.Zones))], 0.5+0.5*float64(r.IntN(2))
 		for _, m := range w.Machines() {
 			if m.Zone == zone && r.Float64() < most {
-				m.Die()
+				m.Fail()
 			}
 		}
 	}
@@ -112,9 +112,9 @@
 func (w *World) drawFurther() {
 	end := 100 * time.Second
 	for range 5 {
-		at := w.secs(10, 220)
+		at := w.randomSecs(10, 220)
 		for k := range 2 + w.rng.IntN(2) {
-			kind, from, d := w.rng.IntN(furtherMeetings), at+w.secs(0, 15), w.secs(3, 100)
+			kind, from, d := w.rng.IntN(furtherMeetings), at+w.randomSecs(0, 15), w.randomSecs(3, 100)
 			if k > 0 && w.rng.IntN(3) == 0 {
 				kind = w.rng.IntN(meetings)
 				w.At(from, func() { w.meet(kind, d) })
@@ -132,12 +132,12 @@
 	w.verdict(t, 10)
 	final := 0 // many are cancelled on such days, but each has its final word
 	for _, j := range w.jobs {
-		if j.toldDone || j.cancelledAt > 0 {
+		if j.reportedDone || j.cancelledAt > 0 {
 			final++
 		}
 	}
 	if final < 60 {
 		t.Errorf("%d of %d jobs have a final word", final, len(w.jobs))
 	}
-	t.Logf("%d starts after a confirmed cancellation, %d odd jobs refused", w.StartsAfterCancel, w.OddRefused)
+	t.Logf("%d starts after a confirmed cancellation, %d odd jobs refused", w.StartsAfterCancel, w.InvalidRefused)
 }
--- a/internal/sim/guards_test.go
+++ b/internal/sim/guards_test.go
@@ -18,7 +18,7 @@
 	w := world(41)
 	at := regexp.MustCompile(`1@(vm-[0-9]+)`)
 	held := ""
-	w.Delay = func(from string, c actor.Call) time.Duration {
+	w.RequestDelay = func(from string, c actor.Call) time.Duration {
 		if held != "" || !strings.Contains(c.Path, "/commit") || !bytes.Contains(c.Body, []byte(`"write":"b/t/j-1/`)) {
 			return 0
 		}
@@ -29,13 +29,13 @@
 		held = string(m[1])
 		for _, x := range w.Machines() {
 			if x.Name == held {
-				w.Cloud.Take(x, 100*time.Second)
+				w.Cloud.Reclaim(x, 100*time.Second)
 			}
 		}
 		return 6 * time.Second
 	}
 	w.At(5*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 4, RunS: 60})
+		w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 4, RunS: 60})
 	})
 	w.At(15*time.Second, func() {
 		w.Crash(w.Leader(), 2*time.Second)
@@ -50,7 +50,7 @@
 	w.Run(60 * time.Second)
 	on := ""
 	for _, m := range w.Machines() {
-		for _, r := range m.sorted() {
+		for _, r := range m.sortedTasks() {
 			if r.job.id == "j-1" && r.onMachine() {
 				on += m.Name
 			}
@@ -71,7 +71,7 @@
 	for seed := uint64(1); seed <= 8; seed++ {
 		w := world(seed)
 		lead := ""
-		w.Lag = func(from string, c actor.Call) time.Duration {
+		w.AnswerDelay = func(from string, c actor.Call) time.Duration {
 			if from == lead && strings.Contains(c.Path, "/changes") && w.now > 29500*time.Millisecond && w.now < 32*time.Second {
 				return 3 * time.Second
 			}
@@ -79,13 +79,13 @@
 		}
 		w.At(5*time.Second, func() { // all six machines, tasks that end one after the other
 			for i, s := range []float64{22, 24.3, 24.9, 25.3, 25.7, 26} {
-				w.Submit(Job{ID: "j-1" + string(rune('0'+i)), Shape: "sweep", Team: "free", Urgency: "high", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 14, RunS: s})
+				w.Submit(Job{ID: "j-1" + string(rune('0'+i)), Kind: "sweep", Team: "free", Urgency: "high", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 14, RunS: s})
 			}
 		})
 		w.At(28*time.Second, func() {
 			lead = w.NodeName(w.Leader())
 			w.Cloud.Outage(30 * time.Second) // nothing is rented
-			w.Submit(Job{ID: "j-2", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 9, CPUs: 14, RunS: 30, CancelAfter: 2300 * time.Millisecond})
+			w.Submit(Job{ID: "j-2", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 9, CPUs: 14, RunS: 30, CancelAfter: 2300 * time.Millisecond})
 		})
 		before := -1
 		var look func()
@@ -104,7 +104,7 @@
 			t.Errorf("seed %d: %d starts before the user was told of the cancellation, %d in all", seed, before, n)
 		}
 		w.Run(200 * time.Second)
-		for _, b := range w.Broken {
+		for _, b := range w.Violations {
 			t.Error(b)
 		}
 	}
@@ -117,7 +117,7 @@
 func TestLateStart(t *testing.T) {
 	w := world(42)
 	held := 0
-	w.Delay = func(from string, c actor.Call) time.Duration {
+	w.RequestDelay = func(from string, c actor.Call) time.Duration {
 		if c.Path == "/orders" && bytes.Contains(c.Body, []byte(`"start"`)) && bytes.Contains(c.Body, []byte(`j-1/`)) {
 			held++
 			return 100 * time.Second
@@ -125,14 +125,14 @@
 		return 0
 	}
 	w.At(5*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Shape: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 4, CancelAfter: 15 * time.Second})
-		w.Submit(Job{ID: "j-2", Shape: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 9}) // keeps the machines
+		w.Submit(Job{ID: "j-1", Kind: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 4, CancelAfter: 15 * time.Second})
+		w.Submit(Job{ID: "j-2", Kind: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 9}) // keeps the machines
 	})
 	w.Run(200 * time.Second)
 	if held == 0 || w.Starts("j-1") == 0 {
 		t.Errorf("%d starts held, %d executed: the day didn't come to what it should show", held, w.Starts("j-1"))
 	}
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 }
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -60,8 +60,8 @@
 	ops, unknown := 0, 0
 	for _, seed := range seeds(t, 12) {
 		w := worldOf(Config{Seed: 5000 + seed, Nodes: 3})
-		w.Record = true
-		w.Garbage, w.State.Slow = 200, 20
+		w.RecordOps = true
+		w.GarbageOneIn, w.State.SlowOneIn = 200, 20
 		w.Workload(25, 120*time.Second)
 		w.OnSend = func(from string, c actor.Call) {
 			// Users cancel while the end of their job is on its way to the state service.
@@ -74,28 +74,28 @@
 				}
 			}
 		}
-		for at := 10 * time.Second; at < 200*time.Second; at += w.secs(5, 25) {
+		for at := 10 * time.Second; at < 200*time.Second; at += w.randomSecs(5, 25) {
 			w.At(at, func() {
 				i := w.rng.IntN(len(w.nodes))
 				switch w.rng.IntN(8) {
 				case 0:
-					w.Crash(i, w.secs(0.5, 6))
+					w.Crash(i, w.randomSecs(0.5, 6))
 				case 1:
 					for i := range w.nodes {
-						w.Crash(i, w.secs(0.5, 6))
+						w.Crash(i, w.randomSecs(0.5, 6))
 					}
 				case 2:
-					w.State.Outage(w.secs(1, 15))
+					w.State.Outage(w.randomSecs(1, 15))
 				case 3:
-					w.State.RefuseNode(w.NodeName(i), w.secs(2, 20))
+					w.State.RefuseNode(w.NodeName(i), w.randomSecs(2, 20))
 				case 4:
-					w.Cut(w.NodeName(i), "state", w.secs(2, 25), w.rng.IntN(2) == 0)
+					w.Cut(w.NodeName(i), "state", w.randomSecs(2, 25), w.rng.IntN(2) == 0)
 				case 5:
-					w.Cut(w.NodeName(i), "users", w.secs(2, 15), true)
+					w.Cut(w.NodeName(i), "users", w.randomSecs(2, 15), true)
 				case 6:
-					w.Freeze(i, w.secs(2, 9))
+					w.Freeze(i, w.randomSecs(2, 9))
 				case 7:
-					w.State.GetSlow(w.secs(3, 15))
+					w.State.SlowDown(w.randomSecs(3, 15))
 				}
 			})
 		}
--- a/internal/sim/late_test.go
+++ b/internal/sim/late_test.go
@@ -42,7 +42,7 @@
 				w.checkCancelled()
 				for i, m := range w.Machines() { // tasks of a job end far apart, so that there are marks
 					if i%2 == 0 {
-						m.Slow = 12
+						m.SlowFactor = 12
 					}
 				}
 				from := 15 * time.Second
@@ -50,12 +50,12 @@
 					from = 0
 				}
 				for i := range 50 {
-					w.At(w.secs(15, 130), func() {
-						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Shape: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 3, RunS: 3 + float64(i%25), SnapshotS: 5, StowS: 1,
+					w.At(w.randomSecs(15, 130), func() {
+						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 3, RunS: 3 + float64(i%25), SnapshotS: 5, SaveS: 1,
 							CancelAfter: time.Duration(i%3/2)*30*time.Second + time.Duration(i%7/6)*4*time.Second})
 					})
 				}
-				w.Lag = func(sender string, a actor.Call) time.Duration {
+				w.AnswerDelay = func(sender string, a actor.Call) time.Duration {
 					if a.Path != "/commit" || w.now < from || w.now > 160*time.Second || !kind.is(string(a.Body)) {
 						return 0
 					}
@@ -64,28 +64,28 @@
 						return 20 * time.Second // it was carried out, nobody hears of it
 					}
 					body := bytes.Clone(a.Body)
-					w.after(w.secs(2, 12), func() {
-						changed := w.State.Changed
+					w.after(w.randomSecs(2, 12), func() {
+						changed := w.State.Changes
 						w.State.serve(sender, "POST", "/commit", body, func(status int, _ []byte) {
 							twice++
-							if status == 200 && w.State.Changed > changed {
+							if status == 200 && w.State.Changes > changed {
 								t.Errorf("%v: carried out again: %.300s", w.now, body)
 							}
 						})
 					})
 					return 0
 				}
-				w.Delay = func(_ string, a actor.Call) time.Duration {
+				w.RequestDelay = func(_ string, a actor.Call) time.Duration {
 					if a.Path == "/commit" && w.now >= from && w.now < 160*time.Second && kind.is(string(a.Body)) && w.rng.IntN(3) == 0 {
 						late++
-						return w.secs(2, 12)
+						return w.randomSecs(2, 12)
 					}
 					return 0
 				}
 				for range 3 {
-					w.At(w.secs(30, 140), func() { w.Crash(max(0, w.Leader()), w.secs(0.1, 5)) })
+					w.At(w.randomSecs(30, 140), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 5)) })
 				}
-				w.Calm = 200 * time.Second
+				w.FaultsEndAt = 200 * time.Second
 				w.Run(700 * time.Second)
 				w.verdict(t, 10)
 			}
--- a/internal/sim/limits_test.go
+++ b/internal/sim/limits_test.go
@@ -17,39 +17,39 @@
 		w := worldOf(Config{Seed: 4000 + seed, Nodes: nodes})
 		w.checkCancelled()
 		for i := range 220 {
-			w.At(w.secs(3, 240), func() {
-				j := Job{ID: fmt.Sprintf("j-%03d", i), Shape: "sweep", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, GPUs: 1, RunS: 5 + 40*w.rng.Float64(),
-					Urgency: []string{"high", "standard", "idle"}[w.rng.IntN(3)], Spot: true, SnapshotS: 5, StowS: 1}
+			w.At(w.randomSecs(3, 240), func() {
+				j := Job{ID: fmt.Sprintf("j-%03d", i), Kind: "sweep", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, GPUs: 1, RunS: 5 + 40*w.rng.Float64(),
+					Urgency: []string{"high", "standard", "idle"}[w.rng.IntN(3)], Spot: true, SnapshotS: 5, SaveS: 1}
 				if w.rng.IntN(8) == 0 {
-					j.Tasks, j.Shape, j.SamePlace = 2, "ensemble", true
+					j.Tasks, j.Kind, j.SamePlace = 2, "ensemble", true
 				}
 				w.Submit(j)
 			})
 		}
-		for at := 20 * time.Second; at < 300*time.Second; at += w.secs(10, 35) {
+		for at := 20 * time.Second; at < 300*time.Second; at += w.randomSecs(10, 35) {
 			w.At(at, func() {
 				l := max(0, w.Leader())
 				switch w.rng.IntN(7) {
 				case 0:
-					w.Crash(l, w.secs(1, 4))
+					w.Crash(l, w.randomSecs(1, 4))
 				case 1:
 					for i := range w.nodes {
-						w.Crash(i, w.secs(1, 4))
+						w.Crash(i, w.randomSecs(1, 4))
 					}
 				case 2:
-					w.Freeze(l, w.secs(3, 12))
+					w.Freeze(l, w.randomSecs(3, 12))
 				case 3:
-					w.Cut(w.NodeName(l), "state", w.secs(4, 20), true)
+					w.Cut(w.NodeName(l), "state", w.randomSecs(4, 20), true)
 				case 4:
 					for _, m := range w.Machines() {
 						if w.rng.IntN(2) == 0 {
-							w.Cut(w.NodeName(l), m.Name, w.secs(5, 60), true)
+							w.Cut(w.NodeName(l), m.Name, w.randomSecs(5, 60), true)
 						}
 					}
 				default: // lost with their tasks, and back in a later session
 					for _, m := range w.Machines() {
 						if m.Tasks() > 0 && w.rng.IntN(2) == 0 {
-							m.Hang(w.secs(35, 50))
+							m.Hang(w.randomSecs(35, 50))
 						}
 					}
 				}
@@ -60,12 +60,12 @@
 			w.Run(w.now + 250*time.Millisecond)
 			use := 0.0
 			for _, m := range w.Cloud.machines {
-				if sessions[m] > 0 && m.tenure > sessions[m] && w.rng.IntN(2) == 0 {
+				if sessions[m] > 0 && m.session > sessions[m] && w.rng.IntN(2) == 0 {
 					// Its tasks are gone, the leader has placed others, and is gone, too,
 					// before that is written.
-					w.after(w.secs(0.2, 4), func() { w.Crash(max(0, w.Leader()), w.secs(1, 3)) })
+					w.after(w.randomSecs(0.2, 4), func() { w.Crash(max(0, w.Leader()), w.randomSecs(1, 3)) })
 				}
-				sessions[m] = m.tenure
+				sessions[m] = m.session
 				for _, r := range m.tasks {
 					if r.phase != "ended" && r.job.team == "blue" {
 						use += r.job.gpus
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -20,16 +20,16 @@
 	case 1: // and everybody, perhaps for longer than a cancellation has
 		w.State.Outage(min(d, 75*time.Second))
 	case 2:
-		w.Alone(l, d, r.IntN(2) == 0)
+		w.Isolate(l, d, r.IntN(2) == 0)
 	case 3:
-		w.LateWrites(0.05+0.4*r.Float64(), d)
+		w.DelayWrites(0.05+0.4*r.Float64(), d)
 	case 4:
-		w.LateReports(0.05+0.4*r.Float64(), d)
+		w.RepeatReports(0.05+0.4*r.Float64(), d)
 	case 5: // some machines hear nothing, perhaps for longer than a lease
 		share := 0.1 + 0.6*r.Float64()
 		for _, m := range w.Machines() {
 			if r.Float64() < share {
-				m.Deafen(d)
+				m.LoseInbound(d)
 			}
 		}
 	case 6: // the leader ends while machines can't be reached
@@ -40,15 +40,15 @@
 				}
 			}
 		}
-		w.after(w.secs(0, 4), func() { w.Crash(max(0, w.Leader()), w.secs(0.1, 8)) })
+		w.after(w.randomSecs(0, 4), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 8)) })
 	case 7: // handed over and back, all end, one returns
 		for k := range 1 + r.IntN(3) {
-			w.after(time.Duration(k)*w.secs(0.1, 2), func() { w.Crash(max(0, w.Leader()), w.soon()) })
+			w.after(time.Duration(k)*w.randomSecs(0.1, 2), func() { w.Crash(max(0, w.Leader()), w.soon()) })
 		}
-		w.after(w.secs(0, 3), func() {
+		w.after(w.randomSecs(0, 3), func() {
 			first := r.IntN(n)
 			for i := range n {
-				back := w.secs(2, 12)
+				back := w.randomSecs(2, 12)
 				if i == first {
 					back = w.soon()
 				}
@@ -56,17 +56,17 @@
 			}
 		})
 	case 8:
-		w.State.GetSlow(d)
+		w.State.SlowDown(d)
 	case 9: // a machine or a controller is held up, and goes on
 		ms := w.Machines()
 		for range 1 + r.IntN(3) {
-			ms[r.IntN(len(ms))].Hang(w.secs(1, 29))
+			ms[r.IntN(len(ms))].Hang(w.randomSecs(1, 29))
 		}
-		w.Freeze(l, w.secs(1, 25))
+		w.Freeze(l, w.randomSecs(1, 25))
 	case 10: // single commands, reports and answers are held up
-		old := w.Stuck
-		w.Stuck = 60
-		w.after(d, func() { w.Stuck = old })
+		old := w.StallOneIn
+		w.StallOneIn = 60
+		w.after(d, func() { w.StallOneIn = old })
 	default:
 		w.trouble()
 	}
@@ -87,16 +87,16 @@
 }
 
 func withMeetings(w *World) *World {
-	w.Balance()
-	w.State.Slow, w.Stuck, w.Copies = 50, 700, 150
+	w.StartLoadBalancer()
+	w.State.SlowOneIn, w.StallOneIn, w.DuplicateOneIn = 50, 700, 150
 	w.Workload(60, 200*time.Second)
 	return w
 }
 
 // calmAfter ends all troubles soon after the given time.
 func (w *World) calmAfter(end time.Duration) {
-	w.Calm = end + 15*time.Second
-	w.At(w.Calm, func() { w.State.Slow, w.Stuck, w.Copies = 0, 0, 0 })
+	w.FaultsEndAt = end + 15*time.Second
+	w.At(w.FaultsEndAt, func() { w.State.SlowOneIn, w.StallOneIn, w.DuplicateOneIn = 0, 0, 0 })
 }
 
 // TestMeetings draws days on which the troubles that the users have met come together in
@@ -117,9 +117,9 @@
 func (w *World) drawMeetings() {
 	end := 100 * time.Second
 	for range 5 {
-		at, together := w.secs(10, 220), 2+w.rng.IntN(2)
+		at, together := w.randomSecs(10, 220), 2+w.rng.IntN(2)
 		for range together {
-			kind, from, d := w.rng.IntN(meetings), at+w.secs(0, 15), w.secs(3, 100)
+			kind, from, d := w.rng.IntN(meetings), at+w.randomSecs(0, 15), w.randomSecs(3, 100)
 			w.At(from, func() { w.meet(kind, d) })
 			end = max(end, from+3*d) // of the other troubles, some last longer
 		}
@@ -140,20 +140,20 @@
 		w := worldOf(Config{Seed: uint64(90 + nodes), Nodes: nodes})
 		w.checkCancelled()
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 3, RunS: 200})
-			w.Submit(Job{ID: "j-2", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 8, CPUs: 2, RunS: 4000})
+			w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 3, RunS: 200})
+			w.Submit(Job{ID: "j-2", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 8, CPUs: 2, RunS: 4000})
 		})
 		old := -1
 		w.At(60*time.Second, func() {
 			old = w.Leader()
-			w.Alone(old, 60*time.Second, true)
-			w.Front = func() int { return (old + 1) % nodes }
+			w.Isolate(old, 60*time.Second, true)
+			w.UserNode = func() int { return (old + 1) % nodes }
 			if !c.quiet {
 				w.after(4*time.Second, func() { w.cancel(w.jobs["j-2"]) })
 			}
 		})
 		w.Run(68 * time.Second)
-		if _, ok := w.nodes[old].n.Leading(); ok {
+		if _, ok := w.nodes[old].node.Leading(); ok {
 			t.Errorf("%d nodes: the old leader believes that it leads", nodes)
 		}
 		w.Run(72 * time.Second)
@@ -171,7 +171,7 @@
 			t.Errorf("%d nodes: the leader has changed once more", nodes)
 		}
 		w.Run(400 * time.Second)
-		for _, b := range w.Broken {
+		for _, b := range w.Violations {
 			t.Error(b)
 		}
 	}
@@ -187,18 +187,18 @@
 	for _, seed := range seeds(t, 6) {
 		w := worldOf(Config{Seed: 950 + seed, Nodes: 3})
 		w.steady("steady", 1, 500*time.Millisecond, 5*time.Second, 200*time.Second, func(int) Job {
-			return Job{Shape: "sweep", Team: "free", Tasks: 1, CPUs: 5, RunS: 5, ImageGB: 0.1, Image: "i"}
+			return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 5, RunS: 5, ImageGB: 0.1, Image: "i"}
 		})
 		w.At(40*time.Second, func() {
 			for i, m := range w.Machines() {
 				if i%2 == 0 {
-					m.Deafen(100 * time.Second)
+					m.LoseInbound(100 * time.Second)
 				}
 			}
 		})
 		starts := map[string]bool{}
 		w.OnSend = func(_ string, c actor.Call) {
-			if m := w.Cloud.byAddr[c.Addr]; m != nil && m.deaf() && bytes.Contains(c.Body, []byte(`"start"`)) {
+			if m := w.Cloud.byAddr[c.Addr]; m != nil && m.losesInbound() && bytes.Contains(c.Body, []byte(`"start"`)) {
 				starts[m.Name+string(c.Body)] = true
 			}
 		}
@@ -228,23 +228,23 @@
 		w.checkCancelled()
 		for i, m := range w.Machines() {
 			if i%2 == 0 {
-				m.Slow = 12
+				m.SlowFactor = 12
 			}
 		}
 		for i := range 25 {
 			n := 2 + i%2
 			tasks += n
-			w.At(w.secs(3, 120), func() {
-				w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Shape: []string{"sweep", "sweep", "ensemble"}[i%3], Team: "free", Image: "i", ImageGB: 0.2, Tasks: n, CPUs: 7, RunS: w.secs(3, 9).Seconds()})
+			w.At(w.randomSecs(3, 120), func() {
+				w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Kind: []string{"sweep", "sweep", "ensemble"}[i%3], Team: "free", Image: "i", ImageGB: 0.2, Tasks: n, CPUs: 7, RunS: w.randomSecs(3, 9).Seconds()})
 			})
 		}
 		for range 8 {
-			w.At(w.secs(10, 200), func() { w.Crash(max(0, w.Leader()), w.secs(0.05, 6)) })
+			w.At(w.randomSecs(10, 200), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.05, 6)) })
 		}
 		for range 2 {
-			w.At(w.secs(20, 160), func() {
+			w.At(w.randomSecs(20, 160), func() {
 				if ms := w.Machines(); len(ms) > 0 {
-					w.Cloud.Take(ms[w.rng.IntN(len(ms))], w.secs(0, 8))
+					w.Cloud.Reclaim(ms[w.rng.IntN(len(ms))], w.randomSecs(0, 8))
 				}
 			})
 		}
--- a/internal/sim/mistake_test.go
+++ b/internal/sim/mistake_test.go
@@ -12,17 +12,17 @@
 // (lumiar ops, operations: 45 starts of a job of 9 tasks, 7 machines set aside).
 func TestJobWithMistake(t *testing.T) {
 	for _, job := range []Job{
-		{Shape: "sweep", Tasks: 30, CPUs: 4},
-		{Shape: "sweep", Tasks: 1, CPUs: 4},
-		{Shape: "ensemble", Tasks: 3, CPUs: 12},
+		{Kind: "sweep", Tasks: 30, CPUs: 4},
+		{Kind: "sweep", Tasks: 1, CPUs: 4},
+		{Kind: "ensemble", Tasks: 3, CPUs: 12},
 	} {
-		t.Run(job.Shape+strconv.Itoa(job.Tasks), func(t *testing.T) {
+		t.Run(job.Kind+strconv.Itoa(job.Tasks), func(t *testing.T) {
 			w := world(21)
 			// Sound work of lower priority fills what there is.
 			w.At(3*time.Second, func() {
-				w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Urgency: "idle", Image: "i", ImageGB: 0.1, Tasks: 22, CPUs: 4, RunS: 300, SnapshotS: 10, StowS: 1})
+				w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Urgency: "idle", Image: "i", ImageGB: 0.1, Tasks: 22, CPUs: 4, RunS: 300, SnapshotS: 10, SaveS: 1})
 			})
-			job.ID, job.Team, job.Urgency, job.Image, job.ImageGB, job.RunS, job.Bad = "j-2", "red", "high", "i", 0.1, 20, true
+			job.ID, job.Team, job.Urgency, job.Image, job.ImageGB, job.RunS, job.Faulty = "j-2", "red", "high", "i", 0.1, 20, true
 			w.At(20*time.Second, func() { w.Submit(job) })
 			w.Run(80 * time.Second) // by now it has failed on several machines
 			starts, sound, machines := w.Starts("j-2"), w.Starts("j-1"), len(w.Cloud.machines)
@@ -30,7 +30,7 @@
 				t.Fatal("it was never started")
 			}
 			w.Run(280 * time.Second)
-			if n := w.Starts("j-2") - starts; (job.Shape == "sweep" && n < 1) || n > 8*job.Tasks || (job.Shape == "sweep" && n > 8) {
+			if n := w.Starts("j-2") - starts; (job.Kind == "sweep" && n < 1) || n > 8*job.Tasks || (job.Kind == "sweep" && n > 8) {
 				t.Errorf("%d starts in 200 s", n)
 			}
 			if n := w.Starts("j-1") - sound; n > 0 {
@@ -51,7 +51,7 @@
 				}
 			})
 			w.Run(w.Now() + time.Second)
-			w.Mend("j-2")
+			w.FixJob("j-2")
 			w.Run(1500 * time.Second)
 			w.verdict(t, 2)
 		})
@@ -62,10 +62,10 @@
 // machine fails whatever is started there: the machine is set aside.
 func TestBadMachine(t *testing.T) {
 	w := world(22)
-	w.At(1*time.Second, func() { w.Machines()[2].bad = true })
+	w.At(1*time.Second, func() { w.Machines()[2].failsTasks = true })
 	for i := range 8 {
 		w.At(time.Duration(3+2*i)*time.Second, func() {
-			w.Submit(Job{ID: "j-" + strconv.Itoa(i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6, CPUs: 3, RunS: 15})
+			w.Submit(Job{ID: "j-" + strconv.Itoa(i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6, CPUs: 3, RunS: 15})
 		})
 	}
 	name := ""
@@ -76,7 +76,7 @@
 		if m.Name == name && !m.deleted {
 			t.Errorf("%s is kept", name)
 		}
-		if m.Name != name && m.deleted && w.jobs["j-7"].doneTold > 0 && m.goneAt < 40*time.Second {
+		if m.Name != name && m.deleted && w.jobs["j-7"].reportedDoneAt > 0 && m.goneAt < 40*time.Second {
 			t.Errorf("%s was returned at %v", m.Name, m.goneAt)
 		}
 	}
--- a/internal/sim/mute_test.go
+++ b/internal/sim/mute_test.go
@@ -36,18 +36,18 @@
 				w := worldOf(Config{Seed: 960 + seed, Nodes: 3})
 				w.checkCancelled()
 				w.steady("steady", 1, time.Second, 5*time.Second, 260*time.Second, func(int) Job {
-					return Job{Shape: "sweep", Team: "free", Tasks: 1, CPUs: 5, RunS: 8, Spot: true}
+					return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 5, RunS: 8, Spot: true}
 				})
 				w.At(5*time.Second, func() {
 					for i := range 8 {
-						w.Submit(Job{ID: fmt.Sprintf("j-9%d", i), Class: "long", Shape: []string{"sweep", "standing"}[i%2], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 2, RunS: 4000})
+						w.Submit(Job{ID: fmt.Sprintf("j-9%d", i), Class: "long", Kind: []string{"sweep", "standing"}[i%2], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 2, RunS: 4000})
 					}
 				})
 				on := 0
 				w.At(from, func() {
 					for i, m := range w.Machines() {
 						if c.which(i, m) {
-							m.Mute(lasts)
+							m.BlockOutbound(lasts)
 							on += len(m.tasks)
 						}
 					}
@@ -59,7 +59,7 @@
 				}
 				muteStarts := 0
 				w.OnStart = func(r *runner) {
-					if r.m.mute() {
+					if r.m.outboundBlocked() {
 						muteStarts++
 					}
 				}
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -9,6 +9,7 @@
 	"brooklb/internal/actor"
 )
 
+// cut is an interruption of the network between two places.
 type cut struct {
 	hold  bool
 	until time.Duration
@@ -21,13 +22,13 @@
 	return [2]string{a, b}
 }
 
-// Cut interrupts the network between two hosts. With hold, packets are
-// delivered when it ends; otherwise connections are reset.
+// Cut interrupts the network between two hosts for a while. With hold, messages are
+// delivered when the cut ends; otherwise connections are reset.
 func (w *World) Cut(a, b string, d time.Duration, hold bool) {
 	w.cuts[pair(a, b)] = &cut{hold, w.now + d}
 }
 
-// CutZone cuts a zone's controllers and machines off from everything outside.
+// CutZone cuts a zone's controllers and machines off from all hosts outside it.
 func (w *World) CutZone(zone string, d time.Duration, hold bool) {
 	in, out := []string{}, []string{"state", "cloud", "users"}
 	add := func(z, host string) {
@@ -38,7 +39,7 @@
 		}
 	}
 	for _, s := range w.nodes {
-		add(s.set.Location, s.host)
+		add(s.settings.Location, s.host)
 	}
 	for _, m := range w.Machines() {
 		add(m.Zone, m.Name)
@@ -50,6 +51,7 @@
 	}
 }
 
+// cutBetween is the cut or partition between two hosts, nil if there is none now.
 func (w *World) cutBetween(a, b string) *cut {
 	c := w.cuts[pair(a, b)]
 	if c == nil || w.now >= c.until {
@@ -59,32 +61,33 @@
 }
 
 func (w *World) latency() time.Duration {
-	if w.Stuck > 0 && w.rng.IntN(w.Stuck) == 0 {
-		return w.secs(1, 10) * time.Duration(1+w.rng.IntN(12))
+	if w.StallOneIn > 0 && w.rng.IntN(w.StallOneIn) == 0 {
+		return w.randomSecs(1, 10) * time.Duration(1+w.rng.IntN(12))
 	}
 	if w.rng.IntN(200) == 0 {
-		return w.secs(0.1, 0.4) // a lost packet, sent again
+		return w.randomSecs(0.1, 0.4) // a retransmitted packet
 	}
-	return w.secs(0.0005, 0.003)
+	return w.randomSecs(0.0005, 0.003)
 }
 
+// host is an endpoint of the simulated network.
 type host interface {
 	hostName() string
 	reachable() bool
 	serve(from, method, path string, body []byte, reply func(status int, body []byte))
 }
 
-func (w *World) find(addr string) host {
+func (w *World) hostAt(addr string) host {
 	switch {
 	case addr == stateAddr:
 		return w.State
 	case addr == cloudAddr:
 		return w.Cloud
 	case addr == ProbeAddr:
-		return probed{w}
+		return probe{w}
 	}
 	for _, s := range w.nodes {
-		if s.addr == addr || s.set.ClusterListen == addr {
+		if s.addr == addr || s.settings.ClusterListen == addr {
 			return s
 		}
 	}
@@ -98,11 +101,11 @@
 	return nil
 }
 
-// send carries a request and its answer. What a cut holds arrives when the cut
-// ends, whether or not the sender still waits.
+// send transmits a request and its answer. Messages that a cut holds arrive when the cut
+// ends, even if the sender no longer waits.
 func (w *World) send(from string, c actor.Call) {
-	if w.outside != nil {
-		w.outside.Send(from, c)
+	if w.transport != nil {
+		w.transport.Send(from, c)
 		return
 	}
 	if w.OnSend != nil {
@@ -116,13 +119,13 @@
 		}
 	}
 	body := bytes.Clone(c.Body)
-	h := w.find(c.Addr)
+	h := w.hostAt(c.Addr)
 	if h == nil {
 		w.after(c.Timeout, func() { finish(actor.Answer{Err: actor.ErrNotSent}) })
 		return
 	}
 	connected := true
-	if m := w.Cloud.machines[from]; m != nil && m.mute() {
+	if m := w.Cloud.machines[from]; m != nil && m.outboundBlocked() {
 		w.after(w.latency(), func() { finish(actor.Answer{Err: actor.ErrNotSent}) })
 		return
 	}
@@ -130,7 +133,7 @@
 		w.after(w.latency(), func() { finish(actor.Answer{Err: actor.ErrNotSent}) })
 		return
 	} else if ct != nil && w.rng.IntN(2) == 0 {
-		connected = false // no connection was open: an attempt given up never completes
+		connected = false // no connection was open, and a new one can't be established
 	}
 	if s, ok := h.(*simNode); ok && !s.up {
 		w.after(w.latency(), func() { finish(actor.Answer{Err: actor.ErrNotSent}) })
@@ -139,7 +142,7 @@
 	if e, ok := h.(*endpoint); ok {
 		switch {
 		case e.m.gone || !e.m.up || e.m.hanging():
-			connected = false // nobody completes the connection
+			connected = false // the connection is not accepted
 		case connected && e.runner() == nil:
 			w.after(w.latency(), func() { finish(actor.Answer{Err: errors.Join(actor.ErrNotSent, actor.ErrRefused)}) })
 			return
@@ -155,11 +158,11 @@
 	if !connected {
 		return
 	}
-	if w.meddle(from, c, h, body) {
+	if w.injectMessageFault(from, c, h, body) {
 		return
 	}
-	if w.Copies > 0 && w.rng.IntN(w.Copies) == 0 {
-		w.after(w.secs(0.02, 4)*time.Duration(1+w.rng.IntN(15)), func() {
+	if w.DuplicateOneIn > 0 && w.rng.IntN(w.DuplicateOneIn) == 0 {
+		w.after(w.randomSecs(0.02, 4)*time.Duration(1+w.rng.IntN(15)), func() {
 			if m, ok := h.(*Machine); ok && (m.gone || w.now < m.hangUntil) || w.cutBetween(from, h.hostName()) != nil || !h.reachable() {
 				return
 			}
@@ -176,10 +179,10 @@
 			}
 			return
 		}
-		if m, ok := h.(*Machine); ok && (m.gone || m.deaf()) {
+		if m, ok := h.(*Machine); ok && (m.gone || m.losesInbound()) {
 			return
 		} else if ok && w.now < m.hangUntil {
-			w.after(m.hangUntil-w.now+w.latency(), deliver) // read when it resumes
+			w.after(m.hangUntil-w.now+w.latency(), deliver) // read when the machine resumes
 			return
 		}
 		if !h.reachable() {
@@ -188,38 +191,38 @@
 		}
 		answered := func() {}
 		if s, ok := h.(*simNode); ok {
-			answered = s.took(func() { finish(actor.Answer{Err: actor.ErrNoAnswer}) })
+			answered = s.trackRequest(func() { finish(actor.Answer{Err: actor.ErrNoAnswer}) })
 		}
 		h.serve(from, c.Method, c.Path, body, func(status int, answer []byte) {
 			answered()
-			if strings.HasPrefix(from, "n") && w.Garbage > 0 && w.rng.IntN(w.Garbage) == 0 {
+			if strings.HasPrefix(from, "n") && w.GarbageOneIn > 0 && w.rng.IntN(w.GarbageOneIn) == 0 {
 				answer = []byte([]string{``, `{`, `[]`, `null`, `{"epoch":"x"}`, `"text"`, `{"items":7,"news":{},"hosts":[{"ref":" "}],"hulls":null}`}[w.rng.IntN(7)])
 			}
-			var back func()
-			back = func() {
+			var deliverAnswer func()
+			deliverAnswer = func() {
 				if ct := w.cutBetween(from, h.hostName()); ct != nil {
 					if ct.hold {
-						w.after(ct.until-w.now+w.latency(), back)
+						w.after(ct.until-w.now+w.latency(), deliverAnswer)
 					} else {
 						finish(actor.Answer{Err: actor.ErrNoAnswer})
 					}
 					return
 				}
-				if m := w.Cloud.machines[from]; m != nil && m.deaf() {
+				if m := w.Cloud.machines[from]; m != nil && m.losesInbound() {
 					return
 				}
 				finish(actor.Answer{Status: status, Body: answer})
 			}
-			late := time.Duration(0)
-			if w.Lag != nil {
-				late = w.Lag(from, c)
+			extra := time.Duration(0)
+			if w.AnswerDelay != nil {
+				extra = w.AnswerDelay(from, c)
 			}
-			w.after(late+w.linkDelay(from, h.hostName())+w.latency(), back)
+			w.after(extra+w.linkDelay(from, h.hostName())+w.latency(), deliverAnswer)
 		})
 	}
-	late := time.Duration(0)
-	if w.Delay != nil {
-		late = w.Delay(from, c)
+	extra := time.Duration(0)
+	if w.RequestDelay != nil {
+		extra = w.RequestDelay(from, c)
 	}
-	w.after(late+w.linkDelay(from, h.hostName())+w.latency(), deliver)
+	w.after(extra+w.linkDelay(from, h.hostName())+w.latency(), deliver)
 }
--- a/internal/sim/odd.go
+++ b/internal/sim/odd.go
@@ -12,28 +12,29 @@
 	"brooklb/internal/actor"
 )
 
-// What users do beside submitting, polling and cancelling: cancel many jobs at once, cancel
-// at the moment of the end, repeat submissions, send jobs that can't run.
+// This file has unusual behaviour of users: they cancel many jobs at once, cancel a job at
+// the moment of its end, repeat submissions, and submit jobs that can't run.
 
-// ids are the jobs in the order of their names.
-func (w *World) ids() []string { return slices.Sorted(maps.Keys(w.jobs)) }
+// jobIDs are the IDs of the jobs in their order.
+func (w *World) jobIDs() []string { return slices.Sorted(maps.Keys(w.jobs)) }
 
-// CancelNow has users cancel so many jobs that run and have long to go within a fifth of a
-// second. With hang, up to eight of their machines hang for so long. It returns the jobs.
-func (w *World) CancelNow(n int, hang time.Duration) (out []string) {
+// CancelRunning makes users cancel up to n running jobs within 200 ms; each is a service or
+// has a task that runs for over 20 s more. If hang is not 0, up to eight of their machines
+// hang for that time. It returns the jobs.
+func (w *World) CancelRunning(n int, hang time.Duration) (out []string) {
 	hung := 0
-	for _, id := range w.ids() {
+	for _, id := range w.jobIDs() {
 		j := w.jobs[id]
 		if len(out) == n {
 			break
 		}
-		if !j.accepted || j.cancelAsked || j.toldDone || len(j.results) == j.tasks {
+		if !j.accepted || j.cancelAsked || j.reportedDone || len(j.results) == j.tasks {
 			continue
 		}
 		long := false
 		var on []*Machine
 		for _, r := range j.runners() {
-			if r.onMachine() && (j.shape == "standing" || r.from+j.left(r.task) > w.now+20*time.Second) {
+			if r.onMachine() && (j.kind == "standing" || r.startedAt+j.remaining(r.task) > w.now+20*time.Second) {
 				long = true
 				on = append(on, r.m)
 			}
@@ -42,7 +43,7 @@
 			continue
 		}
 		out = append(out, id)
-		w.after(w.secs(0, 0.2), func() { w.cancel(j) })
+		w.after(w.randomSecs(0, 0.2), func() { w.cancel(j) })
 		slices.SortFunc(on, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
 		for _, m := range on {
 			if hang > 0 && hung < 8 && !m.hanging() {
@@ -54,57 +55,57 @@
 	return out
 }
 
-// CancelAtEnd has a share of the jobs that end be cancelled at the moment of their end.
+// CancelAtEnd makes users cancel a share of the jobs at the moment of their end, for a while.
 func (w *World) CancelAtEnd(share float64, d time.Duration) {
-	w.cancelsAtEnd, w.cancelsAtEndUntil = share, w.now+d
+	w.cancelAtEndShare, w.cancelAtEndUntil = share, w.now+d
 }
 
-// cancelAtEnd: the job's last task has completed just now.
+// cancelAtEnd is called when the job's last task has completed.
 func (w *World) cancelAtEnd(j *userJob) {
-	if w.now >= w.cancelsAtEndUntil || j.cancelAsked || w.rng.Float64() >= w.cancelsAtEnd {
+	if w.now >= w.cancelAtEndUntil || j.cancelAsked || w.rng.Float64() >= w.cancelAtEndShare {
 		return
 	}
-	// Just before the result is reported, as it is, or as its end is written.
-	w.after(w.secs(0, 0.3), func() { w.cancel(j) })
+	// The cancellation arrives before or while the result is reported or the end is written.
+	w.after(w.randomSecs(0, 0.3), func() { w.cancel(j) })
 }
 
-// OddRequests has users repeat submissions and cancellations of jobs in any state, and send
-// jobs that can't run or lack a field, for a while.
-func (w *World) OddRequests(d time.Duration) {
+// UnusualRequests makes users repeat submissions, cancel jobs that are done, and submit
+// invalid jobs, for a while.
+func (w *World) UnusualRequests(d time.Duration) {
 	end := w.now + d
 	var next func()
 	next = func() {
 		if w.now >= end {
 			return
 		}
-		w.after(w.secs(0.1, 0.8), next)
-		ids := w.ids()
+		w.after(w.randomSecs(0.1, 0.8), next)
+		ids := w.jobIDs()
 		if len(ids) == 0 {
 			return
 		}
 		j := w.jobs[ids[w.rng.IntN(len(ids))]]
 		switch w.rng.IntN(3) {
 		case 0:
-			if j.accepted && j.body != nil {
-				w.submit(j, j.body, 100)
+			if j.accepted && j.submission != nil {
+				w.submit(j, j.submission, 100)
 			}
 		case 1:
-			if j.toldDone && !j.cancelAsked {
+			if j.reportedDone && !j.cancelAsked {
 				w.cancel(j)
 			}
 		case 2:
-			w.odd(w.rng.IntN(math.MaxInt32))
+			w.submitInvalid(w.rng.IntN(math.MaxInt32))
 		}
 	}
 	next()
 }
 
-// odds are jobs that must be refused, each by what it changes in one that could run, with the
-// status that the protocol gives.
-var odds = func() (out []oddJob) {
+// invalidJobs are jobs that must be refused, each with the status that the protocol requires
+// and the fields in which it differs from a valid job.
+var invalidJobs = func() (out []invalidJob) {
 	set := func(status int, field string, values ...any) {
 		for _, v := range values {
-			out = append(out, oddJob{status, map[string]any{field: v}})
+			out = append(out, invalidJob{status, map[string]any{field: v}})
 		}
 	}
 	for _, field := range []string{"ref", "lane", "crew", "shape", "urgency", "bundle"} {
@@ -130,29 +131,29 @@
 	set(422, "gpus", 4.5)
 	set(422, "memory_gb", 513.0)
 	for _, shape := range []string{"ensemble", "standing"} {
-		out = append(out, oddJob{422, map[string]any{"crew": "red", "shape": shape, "shards": 11, "cpus": 16.0}},
-			oddJob{422, map[string]any{"crew": "blue", "shape": shape, "shards": 6, "gpus": 4.0}},
-			oddJob{422, map[string]any{"shape": shape, "shards": 2, "same_place": true, "apart": true}},
-			oddJob{422, map[string]any{"shape": shape, "shards": 2, "yard": "a", "apart": true}})
+		out = append(out, invalidJob{422, map[string]any{"crew": "red", "shape": shape, "shards": 11, "cpus": 16.0}},
+			invalidJob{422, map[string]any{"crew": "blue", "shape": shape, "shards": 6, "gpus": 4.0}},
+			invalidJob{422, map[string]any{"shape": shape, "shards": 2, "same_place": true, "apart": true}},
+			invalidJob{422, map[string]any{"shape": shape, "shards": 2, "yard": "a", "apart": true}})
 	}
 	return out
 }()
 
-type oddJob struct {
+type invalidJob struct {
 	status int
 	change map[string]any
 }
 
-// absent is the value of a field that isn't there.
+// absent marks a field to leave out.
 var absent any = struct{ absent bool }{true}
 
-// odd has a user send the k-th of the jobs that must be refused, with a number of its own.
-func (w *World) odd(k int) {
-	o := odds[k%len(odds)]
-	w.oddSent++
-	_, desc := w.describe(Job{ID: "j-odd", Shape: "sweep", Team: "free", Image: "i", ImageGB: 1, Tasks: 1, CPUs: 1, RunS: 5})
+// submitInvalid makes a user submit one of the invalid jobs, with an ID of its own.
+func (w *World) submitInvalid(k int) {
+	o := invalidJobs[k%len(invalidJobs)]
+	w.invalidSent++
+	_, desc := w.describe(Job{ID: "j-odd", Kind: "sweep", Team: "free", Image: "i", ImageGB: 1, Tasks: 1, CPUs: 1, RunS: 5})
 	delete(w.jobs, "j-odd")
-	desc["ref"] = fmt.Sprintf("j-77%03d", w.oddSent%1000)
+	desc["ref"] = fmt.Sprintf("j-77%03d", w.invalidSent%1000)
 	for f, v := range o.change {
 		if v == absent {
 			delete(desc, f)
@@ -164,12 +165,12 @@
 	if err != nil {
 		panic("sim: " + err.Error())
 	}
-	w.ask("POST", "/v2/runs", body, 5*time.Second, func(a actor.Answer) {
+	w.request("POST", "/v2/runs", body, 5*time.Second, func(a actor.Answer) {
 		if a.Err == nil && a.Status != o.status && a.Status < 500 && a.Status != 429 {
-			w.broke("odd", "%s got %d %s, not %d", body, a.Status, a.Body, o.status)
+			w.reportViolation("odd", "%s got %d %s, expected %d", body, a.Status, a.Body, o.status)
 		}
 		if a.Err == nil && a.Status == o.status {
-			w.OddRefused++
+			w.InvalidRefused++
 		}
 	})
 }
--- a/internal/sim/odd_test.go
+++ b/internal/sim/odd_test.go
@@ -20,36 +20,36 @@
 		w := world(46000 + seed)
 		w.Workload(30, 100*time.Second)
 		front := 0
-		w.Front = func() int { return front }
+		w.UserNode = func() int { return front }
 		sent := 0
 		for i := range w.nodes {
-			for k := range odds {
-				w.At(60*time.Second+time.Duration(i*len(odds)+k)*100*time.Millisecond, func() {
+			for k := range invalidJobs {
+				w.At(60*time.Second+time.Duration(i*len(invalidJobs)+k)*100*time.Millisecond, func() {
 					front = i
 					sent++
-					w.odd(k)
+					w.submitInvalid(k)
 					front = w.rng.IntN(len(w.nodes))
 				})
 			}
 		}
-		w.At(55*time.Second, func() { w.OddRequests(200 * time.Second) })
-		w.Run(60*time.Second + time.Duration(3*len(odds))*100*time.Millisecond + 10*time.Second)
-		if w.OddRefused < sent {
-			t.Errorf("seed %d: %d of %d were refused while all was well", seed, w.OddRefused, sent)
+		w.At(55*time.Second, func() { w.UnusualRequests(200 * time.Second) })
+		w.Run(60*time.Second + time.Duration(3*len(invalidJobs))*100*time.Millisecond + 10*time.Second)
+		if w.InvalidRefused < sent {
+			t.Errorf("seed %d: %d of %d were refused while all was well", seed, w.InvalidRefused, sent)
 		}
 		for i := range 30 {
-			w.At(w.now+w.secs(1, 150), func() {
+			w.At(w.now+w.randomSecs(1, 150), func() {
 				switch k := w.rng.IntN(len(w.nodes)); i % 3 {
 				case 0:
-					w.Crash(k, w.secs(0.1, 3))
+					w.Crash(k, w.randomSecs(0.1, 3))
 				case 1:
-					w.State.RefuseNode(w.NodeName(k), w.secs(1, 10))
+					w.State.RefuseNode(w.NodeName(k), w.randomSecs(1, 10))
 				default:
-					w.Cut(w.NodeName(k), "state", w.secs(1, 10), true)
+					w.Cut(w.NodeName(k), "state", w.randomSecs(1, 10), true)
 				}
 			})
 		}
-		w.OddRequests(150 * time.Second)
+		w.UnusualRequests(150 * time.Second)
 		w.Run(900 * time.Second)
 		w.verdict(t, 15)
 	}
@@ -62,7 +62,7 @@
 	w := world(47)
 	w.Run(20 * time.Second)
 	behind := (w.Leader() + 1) % 3
-	j, desc := w.describe(Job{ID: "j-000001", Shape: "sweep", Team: "free", Image: "i", ImageGB: 1, Tasks: 1, CPUs: 20, RunS: 500})
+	j, desc := w.describe(Job{ID: "j-000001", Kind: "sweep", Team: "free", Image: "i", ImageGB: 1, Tasks: 1, CPUs: 20, RunS: 500})
 	body := mustJSON(desc)
 	got := 0
 	ask := func() {
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Lag = func(from string, c actor.Call) time.Duration {
+	w.AnswerDelay = func(from string, c actor.Call) time.Duration {
 		if from == w.NodeName(behind) && strings.HasPrefix(c.Path, "/changes") {
 			return 20 * time.Second
 		}
--- a/internal/sim/outage_test.go
+++ b/internal/sim/outage_test.go
@@ -22,22 +22,22 @@
 		w.checkCancelled()
 		for i := range 14 {
 			shape := []string{"sweep", "sweep", "standing", "ensemble"}[i%4]
-			w.At(w.secs(4, 12), func() {
-				w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Shape: shape, Team: "free", Image: "i", ImageGB: 0.1, Tasks: 2 + i%2, CPUs: 2, RunS: 4000, SnapshotS: 20, StowS: 4})
+			w.At(w.randomSecs(4, 12), func() {
+				w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: shape, Team: "free", Image: "i", ImageGB: 0.1, Tasks: 2 + i%2, CPUs: 2, RunS: 4000, SnapshotS: 20, SaveS: 4})
 			})
 		}
 		const out = 60 * time.Second
-		w.At(out, func() { w.State.Outage(w.secs(60, 130)) })
+		w.At(out, func() { w.State.Outage(w.randomSecs(60, 130)) })
 		for i := range 8 {
-			at := out - w.secs(0, 0.4)
+			at := out - w.randomSecs(0, 0.4)
 			if i%2 == 0 {
-				at = out - w.secs(0, 6)
+				at = out - w.randomSecs(0, 6)
 			}
 			w.At(at, func() { w.cancel(w.jobs[fmt.Sprintf("j-%d", i)]) })
 		}
 		for range 2 + r.IntN(4) {
-			d := w.secs(1, 90)
-			w.At(out+w.secs(-6, 25), func() {
+			d := w.randomSecs(1, 90)
+			w.At(out+w.randomSecs(-6, 25), func() {
 				l, k := max(0, w.Leader()), r.IntN(n)
 				switch r.IntN(8) {
 				case 0, 1:
@@ -47,7 +47,7 @@
 				case 3:
 					w.State.RefuseNode(w.NodeName([]int{l, k}[r.IntN(2)]), d)
 				case 4:
-					w.Crash([]int{l, k}[r.IntN(2)], w.secs(0.05, 8))
+					w.Crash([]int{l, k}[r.IntN(2)], w.randomSecs(0.05, 8))
 				case 5:
 					w.Freeze([]int{l, k}[r.IntN(2)], d/3)
 				case 6:
@@ -57,7 +57,7 @@
 						}
 					}
 				default:
-					w.Alone(l, d, r.IntN(2) == 0)
+					w.Isolate(l, d, r.IntN(2) == 0)
 				}
 			})
 		}
@@ -67,7 +67,7 @@
 			}
 		})
 		w.Run(400 * time.Second)
-		for _, b := range w.Broken {
+		for _, b := range w.Violations {
 			t.Errorf("seed %s: %s", strconv.FormatUint(seed, 10), b)
 		}
 		killed += w.KilledByLease
@@ -82,7 +82,7 @@
 	for _, seed := range seeds(t, 3) {
 		w := world(31000 + seed)
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 7, RunS: 100})
+			w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 7, RunS: 100})
 		})
 		w.Run(30 * time.Second)
 		old := w.Leader()
--- a/internal/sim/outside.go
+++ b/internal/sim/outside.go
@@ -10,19 +10,20 @@
 	"brooklb/internal/actor"
 )
 
-// Outside carries what a World's stand-ins say over real sockets. Its methods are
-// called on the world's thread and must not block.
-type Outside interface {
+// Transport connects a World's stand-ins to real sockets. Its methods are called on the
+// world's thread and must not block.
+type Transport interface {
 	// Send sends a request of a worker or user; Done is called on the world's thread.
 	Send(from string, c actor.Call)
-	// Up and Gone hear of machines, Listen and Unlisten of instances of services.
+	// Up and Gone are called when a machine comes up or ends, Listen and Unlisten when an
+	// instance of a service opens or closes its port.
 	Up(m *Machine)
 	Gone(m *Machine)
 	Listen(m *Machine, instance string, port int)
 	Unlisten(m *Machine, instance string)
 }
 
-// Advance plays what is due at the given time and says when there is more.
+// Advance runs the events that are due at the given time and returns the time of the next.
 func (w *World) Advance(now time.Duration) (next time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= now {
 		w.Run(w.events[0].at)
@@ -34,12 +35,12 @@
 	return w.events[0].at
 }
 
-// SetUp tells that a controller on real sockets is there, or not.
-func (w *World) SetUp(i int, up bool) { w.nodes[i].up = up }
+// SetNodeUp states whether a controller on real sockets is running.
+func (w *World) SetNodeUp(i int, up bool) { w.nodes[i].up = up }
 
-// Between tells whether the network between two hosts is cut, until when, and
-// whether what is sent waits for the end.
-func (w *World) Between(a, b string) (until time.Duration, hold, is bool) {
+// CutBetween reports whether the network between two hosts is cut, until when, and
+// whether messages wait for the end of the cut.
+func (w *World) CutBetween(a, b string) (until time.Duration, hold, isCut bool) {
 	c := w.cutBetween(a, b)
 	if c == nil {
 		return 0, false, false
@@ -47,8 +48,8 @@
 	return c.until, c.hold, true
 }
 
-// Ask has a stand-in ("state", "cloud" or a machine) answer a request that came in.
-func (w *World) Ask(to, from, method, path string, body []byte, reply func(status int, body []byte)) {
+// HandleRequest makes a stand-in ("state", "cloud" or a machine) answer a received request.
+func (w *World) HandleRequest(to, from, method, path string, body []byte, reply func(status int, body []byte)) {
 	switch to {
 	case "state":
 		w.State.serve(from, method, path, body, reply)
@@ -59,30 +60,31 @@
 		if m == nil || !m.reachable() {
 			return
 		}
-		if m.hanging() { // read when it goes on
-			w.after(m.hangUntil-w.now+time.Millisecond, func() { w.Ask(to, from, method, path, body, reply) })
+		if m.hanging() { // read when the machine resumes
+			w.after(m.hangUntil-w.now+time.Millisecond, func() { w.HandleRequest(to, from, method, path, body, reply) })
 			return
 		}
 		m.serve(from, method, path, body, reply)
 	}
 }
 
-// Check has an instance of a service answer; ok is false if it is not there.
-func (w *World) Check(m *Machine, instance string, reply func(status int)) bool {
+// CheckInstance makes an instance of a service answer a health check. It reports whether
+// the instance runs.
+func (w *World) CheckInstance(m *Machine, instance string, reply func(status int)) bool {
 	r := m.tasks[instance]
 	if r == nil || r.phase != "running" {
 		return false
 	}
-	status, delay := ServiceAnswer(r.job.image, r.task, w.now-r.from)
-	w.Checks++
+	status, delay := ServiceAnswer(r.job.image, r.task, w.now-r.startedAt)
+	w.HealthChecks++
 	if status > 0 && !m.hanging() {
 		w.after(delay, func() { reply(status) })
 	}
 	return true
 }
 
-// Refuses reports whether an instance of the service listens nowhere.
-func (w *World) Refuses(m *Machine, instance string) bool {
+// RefusesConnections reports whether an instance of a service is missing or listens on no port.
+func (w *World) RefusesConnections(m *Machine, instance string) bool {
 	r := m.tasks[instance]
 	if r == nil {
 		return true
@@ -91,41 +93,45 @@
 	return b == "refuse"
 }
 
-var errDescription = errors.New("the description makes no sense to the workers' stand-in")
+var errDescription = errors.New("the workers' stand-in can't read the job description")
 
-// Upload takes a job's description for the workers, who fetch it themselves; users
-// upload it. What is there already stays.
+// Upload stores a job's description, which users upload and workers fetch. An existing
+// description stays.
 func (w *World) Upload(body []byte) error {
 	var d struct {
-		Ref, Crew, Shape, Urgency, Bundle string
-		Yard                              *string
-		Shards                            int
-		CPUs, GPUs                        float64
-		SizeGB                            float64 `json:"size_gb"`
-		SamePlace                         bool    `json:"same_place"`
-		Apart, Loaners                    bool
-		ExpectS                           float64 `json:"expect_s"`
-		SnapshotS                         float64 `json:"snapshot_s"`
-		StowS                             float64 `json:"stow_s"`
-	}
-	if err := json.Unmarshal(body, &d); err != nil || d.Ref == "" || d.Shards < 1 {
+		Ref, Urgency string
+		Kind         string  `json:"shape"`
+		Team         string  `json:"crew"`
+		Image        string  `json:"bundle"`
+		Zone         *string `json:"yard"`
+		Tasks        int     `json:"shards"`
+		CPUs, GPUs   float64
+		SizeGB       float64 `json:"size_gb"`
+		SamePlace    bool    `json:"same_place"`
+		Apart        bool
+		Spot         bool    `json:"loaners"`
+		ExpectS      float64 `json:"expect_s"`
+		SnapshotS    float64 `json:"snapshot_s"`
+		SaveS        float64 `json:"stow_s"`
+	}
+	if err := json.Unmarshal(body, &d); err != nil || d.Ref == "" || d.Tasks < 1 {
 		return errDescription
 	}
 	if w.jobs[d.Ref] != nil {
 		return nil
 	}
-	j := &userJob{id: d.Ref, shape: d.Shape, team: d.Crew, image: d.Bundle, urgency: d.Urgency, tasks: d.Shards, cpus: d.CPUs, gpus: d.GPUs,
-		imageGB: d.SizeGB, samePlace: d.SamePlace, apart: d.Apart, spot: d.Loaners, runS: d.ExpectS, snapshotS: d.SnapshotS, stowS: d.StowS,
-		results: map[int]bool{}, saved: map[int]time.Duration{}, asked: true, Submitted: w.now}
-	if d.Yard != nil {
-		j.yard = *d.Yard
+	j := &userJob{id: d.Ref, kind: d.Kind, team: d.Team, image: d.Image, urgency: d.Urgency, tasks: d.Tasks, cpus: d.CPUs, gpus: d.GPUs,
+		imageGB: d.SizeGB, samePlace: d.SamePlace, apart: d.Apart, spot: d.Spot, runS: d.ExpectS, snapshotS: d.SnapshotS, saveS: d.SaveS,
+		results: map[int]bool{}, saved: map[int]time.Duration{}, requested: true, Submitted: w.now}
+	if d.Zone != nil {
+		j.zone = *d.Zone
 	}
 	w.jobs[d.Ref] = j
 	return nil
 }
 
-// UploadVersion takes the description of a service's new version, and what its
-// instances listen on.
+// UploadVersion stores the description of a service's new version, and the port of its
+// instances.
 func (w *World) UploadVersion(service string, body []byte) error {
 	var d struct {
 		Job    json.RawMessage
@@ -142,35 +148,35 @@
 		return err
 	}
 	var ref struct{ Ref string }
-	_ = json.Unmarshal(d.Job, &ref) // it was read just now
+	_ = json.Unmarshal(d.Job, &ref) // Upload has decoded it
 	for _, id := range []string{ref.Ref, d.From} {
 		if j := w.jobs[id]; j != nil && j.service == "" {
 			j.service, j.port, j.perTask = service, d.Health.Port, d.Health.PerTask
 			if id == d.From {
-				w.listenAgain(j)
+				w.openPorts(j)
 			}
 		}
 	}
 	return nil
 }
 
-// listenAgain has instances that run already listen.
-func (w *World) listenAgain(j *userJob) {
+// openPorts makes the instances of the job that already run listen on their ports.
+func (w *World) openPorts(j *userJob) {
 	for _, r := range j.runners() {
-		if w.outside != nil && r.phase == "running" && r.listens() > 0 {
-			w.outside.Listen(r.m, r.key, r.listens())
+		if w.transport != nil && r.phase == "running" && r.listenPort() > 0 {
+			w.transport.Listen(r.m, r.key, r.listenPort())
 		}
 	}
 }
 
-// Forget notes that a job was withdrawn by its user, as of the answer.
-func (w *World) Forget(id string) {
+// MarkCancelled records that the job's user received the answer that it is cancelled.
+func (w *World) MarkCancelled(id string) {
 	if j := w.jobs[id]; j != nil && j.cancelledAt == 0 {
 		j.cancelAsked, j.cancelledAt = true, w.now
 	}
 }
 
-// Summary tells in a line what the stand-ins have seen.
+// Summary returns a line with the counts of the stand-ins.
 func (w *World) Summary() string {
 	ms, tasks := w.Machines(), 0
 	up := 0
@@ -181,8 +187,8 @@
 		tasks += len(m.tasks)
 	}
 	return fmt.Sprintf("%d machines (%d up), %d tasks on them, %d started so far, %d checks of services, %d requests over the state service's rate, %d over the cloud's, rules broken: %s",
-		len(ms), up, tasks, w.Started, w.Checks, w.State.Limited, w.Cloud.Limited, strings.Join(append([]string{fmt.Sprint(len(w.Broken))}, w.Broken...), "; "))
+		len(ms), up, tasks, w.Started, w.HealthChecks, w.State.Limited, w.Cloud.Limited, strings.Join(append([]string{fmt.Sprint(len(w.Violations))}, w.Violations...), "; "))
 }
 
-// Tasks is how many tasks are on the machine.
+// Tasks is the number of task attempts that the machine knows.
 func (m *Machine) Tasks() int { return len(m.tasks) }
--- a/internal/sim/partition.go
+++ b/internal/sim/partition.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// partition separates some zones from all other places.
+// partition separates some zones from all other zones and the regional services.
 type partition struct {
 	zones []string
 	cut   cut
 }
 
-// Partition cuts zones, together, off from everything outside them.
+// Partition cuts a set of zones off from all hosts outside them; within the set the network
+// works.
 func (w *World) Partition(zones []string, d time.Duration, hold bool) {
-	w.parted = append(w.parted, partition{zones, cut{hold, w.now + d}})
+	w.partitions = append(w.partitions, partition{zones, cut{hold, w.now + d}})
 }
 
 // partitionBetween is the partition between two hosts, nil if there is none now.
 func (w *World) partitionBetween(a, b string) *cut {
-	if len(w.parted) == 0 {
+	if len(w.partitions) == 0 {
 		return nil
 	}
-	w.parted = slices.DeleteFunc(w.parted, func(p partition) bool { return w.now >= p.cut.until })
-	for i := range w.parted {
-		p := &w.parted[i]
-		if slices.Contains(p.zones, w.Place(a)) != slices.Contains(p.zones, w.Place(b)) {
+	w.partitions = slices.DeleteFunc(w.partitions, func(p partition) bool { return w.now >= p.cut.until })
+	for i := range w.partitions {
+		p := &w.partitions[i]
+		if slices.Contains(p.zones, w.ZoneOf(a)) != slices.Contains(p.zones, w.ZoneOf(b)) {
 			c := p.cut
 			return &c
 		}
@@ -32,23 +33,23 @@
 	return nil
 }
 
-// PlaceOf is the zone of the host with an address, "" for what is regional or unknown.
-func (w *World) PlaceOf(addr string) string {
-	h := w.find(addr)
+// ZoneOfAddr is the zone of the host with an address, "" if the host is regional or unknown.
+func (w *World) ZoneOfAddr(addr string) string {
+	h := w.hostAt(addr)
 	if h == nil {
 		return ""
 	}
-	return w.Place(h.hostName())
+	return w.ZoneOf(h.hostName())
 }
 
-// Place is the zone of a host, "" for what is regional.
-func (w *World) Place(host string) string {
+// ZoneOf is the zone of a host, "" if the host is regional.
+func (w *World) ZoneOf(host string) string {
 	if m := w.Cloud.machines[host]; m != nil {
 		return m.Zone
 	}
 	for _, s := range w.nodes {
 		if s.host == host {
-			return s.set.Location
+			return s.settings.Location
 		}
 	}
 	return ""
--- a/internal/sim/polls_test.go
+++ b/internal/sim/polls_test.go
@@ -15,7 +15,7 @@
 			run = 5
 		}
 		w.At(time.Duration(3000+100*i)*time.Millisecond, func() {
-			w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: run})
+			w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: run})
 		})
 	}
 	w.Run(40 * time.Second)
@@ -28,7 +28,7 @@
 func TestPollStorm(t *testing.T) {
 	for _, running := range []bool{true, false} {
 		w, s := pollWorld()
-		before, answered, refused := w.State.Asked[s.host], 0, 0
+		before, answered, refused := w.State.Requests[s.host], 0, 0
 		const n = 4000 // in ten seconds
 		for i := range n {
 			id := 2 * (i % 20)
@@ -46,7 +46,7 @@
 			})
 		}
 		w.Run(w.now + 12*time.Second)
-		asked := w.State.Asked[s.host] - before
+		asked := w.State.Requests[s.host] - before
 		if answered < n*95/100 || answered+refused != n {
 			t.Errorf("running %v: %d of %d polls answered, %d refused", running, answered, n, refused)
 		}
--- a/internal/sim/refused_test.go
+++ b/internal/sim/refused_test.go
@@ -52,7 +52,7 @@
 			for k, at := range []time.Duration{-200, -60, -15, 0, 15, 60, 200} {
 				for _, seed := range seeds(t, 2) {
 					w, did := c.play(uint64(k)*50+seed, at*time.Millisecond)
-					for _, b := range w.Broken {
+					for _, b := range w.Violations {
 						t.Errorf("asked %v ms after the refusal, seed %d: %s", int(at), seed, b)
 					}
 					longest = max(longest, w.LongestCancelled)
@@ -76,7 +76,7 @@
 	w.checkCancelled()
 	w.At(5*time.Second, func() {
 		for i := range 8 {
-			w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Shape: []string{"sweep", "ensemble", "standing", "sweep"}[i%4], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 4000, SnapshotS: 20, StowS: 6})
+			w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: []string{"sweep", "ensemble", "standing", "sweep"}[i%4], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 4000, SnapshotS: 20, SaveS: 6})
 		}
 	})
 	old, confirmer, before := -1, -1, 0
@@ -84,7 +84,7 @@
 	w.At(from-time.Second, func() {
 		old = w.Leader()
 		confirmer = (old + 1) % len(w.nodes)
-		w.Front = func() int {
+		w.UserNode = func() int {
 			if w.now > from+90*time.Second {
 				return -1
 			}
@@ -106,17 +106,17 @@
 			}
 		}
 	})
-	w.Delay = func(from string, a actor.Call) time.Duration {
-		if c.late > 0 && old >= 0 && from == w.NodeName(confirmer) && a.Addr == w.Set[old].ClusterListen {
-			return w.secs(0, c.late.Seconds())
+	w.RequestDelay = func(from string, a actor.Call) time.Duration {
+		if c.late > 0 && old >= 0 && from == w.NodeName(confirmer) && a.Addr == w.Settings[old].ClusterListen {
+			return w.randomSecs(0, c.late.Seconds())
 		}
 		return 0
 	}
 	if c.saving {
 		w.At(from+asked-2*time.Second, func() {
 			for _, m := range w.Machines() { // told to save by somebody, such as a drain
-				for _, r := range m.sorted() {
-					if r.job.shape == "ensemble" || r.job.snapshotS > 0 {
+				for _, r := range m.sortedTasks() {
+					if r.job.kind == "ensemble" || r.job.snapshotS > 0 {
 						r.save(6 * time.Second)
 					}
 				}
@@ -164,13 +164,13 @@
 			did.ran += j.onMachines(w)
 			if c.ends && !ended {
 				ended = true
-				w.Crash(confirmer, w.secs(0.1, 5))
+				w.Crash(confirmer, w.randomSecs(0.1, 5))
 			}
 		}
 	}
 	w.At(from+min(0, asked), look)
-	w.At(from+time.Second, func() { w.State.Outage(w.cancelWithin() + 15*time.Second) })
-	w.Run(from + w.cancelWithin() + 15*time.Second)
+	w.At(from+time.Second, func() { w.State.Outage(w.cancelDeadline() + 15*time.Second) })
+	w.Run(from + w.cancelDeadline() + 15*time.Second)
 	did.answered = w.Answered[old] - before
 	w.Run(from + 200*time.Second)
 	return w, did
@@ -182,8 +182,8 @@
 		return
 	}
 	r.phase = "flushing"
-	r.m.changed()
-	r.in(d, func() { r.exit("halted", true) })
+	r.m.reportSoon()
+	r.schedule(d, func() { r.exit("halted", true) })
 }
 
 // TestHungAndCancelled: machines hang, jobs that run there are cancelled, and the machines go on
@@ -214,7 +214,7 @@
 				w.checkCancelled()
 				w.At(5*time.Second, func() {
 					for i := range 10 {
-						w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Shape: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 3, RunS: 4000, SnapshotS: 20, StowS: 6})
+						w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 3, RunS: 4000, SnapshotS: 20, SaveS: 6})
 					}
 				})
 				w.At(from, func() {
@@ -224,24 +224,24 @@
 							continue
 						}
 						k++
-						for _, r := range m.sorted() {
+						for _, r := range m.sortedTasks() {
 							on++
 							if c.save {
 								r.save(6 * time.Second)
 							}
 							if !r.job.cancelAsked {
-								w.after(w.secs(0, 2), func() { w.cancel(r.job) })
+								w.after(w.randomSecs(0, 2), func() { w.cancel(r.job) })
 								r.job.cancelAsked = true
 							}
 						}
 						m.Hang(time.Duration(c.hang * float64(w.lease())))
 					}
 					if c.crash {
-						w.after(w.secs(0.5, 8), func() { w.Crash(max(0, w.Leader()), w.secs(0.1, 6)) })
+						w.after(w.randomSecs(0.5, 8), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 6)) })
 					}
 				})
 				w.Run(from + 120*time.Second)
-				for _, id := range w.ids() {
+				for _, id := range w.jobIDs() {
 					if j := w.jobs[id]; !j.cancelAsked {
 						w.cancel(j)
 					}
--- a/internal/sim/relay_test.go
+++ b/internal/sim/relay_test.go
@@ -23,7 +23,7 @@
 			w.Cut(s.host, "state", 30*time.Second, cut == "hold")
 		}
 		w.Run(12 * time.Second)
-		job := &userJob{id: "j-1", shape: "sweep", team: "free", image: "i", urgency: "high", tasks: 1, cpus: 1, runS: 5, asked: true,
+		job := &userJob{id: "j-1", kind: "sweep", team: "free", image: "i", urgency: "high", tasks: 1, cpus: 1, runS: 5, requested: true,
 			results: map[int]bool{}, saved: map[int]time.Duration{}}
 		w.jobs["j-1"] = job
 		ask := func(method, path string, body []byte, want, within string) {
@@ -49,7 +49,7 @@
 		w.State.Outage(20 * time.Second)
 		w.Run(w.now + 4*time.Second)
 		ask("POST", "/v2/runs/j-2/withdraw", nil, "can't be asked", "2s")
-		for _, b := range w.Broken {
+		for _, b := range w.Violations {
 			t.Error(b)
 		}
 	}
--- a/internal/sim/restart_test.go
+++ b/internal/sim/restart_test.go
@@ -20,7 +20,7 @@
 }
 
 // soon is a pause within which a process is back on some platforms.
-func (w *World) soon() time.Duration { return w.secs(0.02, 0.5) }
+func (w *World) soon() time.Duration { return w.randomSecs(0.02, 0.5) }
 
 // tookOver checks what a process may do with the leader key that the one before it left:
 // take part of it is in no write, and no renewal names a lease that this process did
@@ -32,9 +32,9 @@
 	for i, s := range w.nodes {
 		index[s.host] = i
 	}
-	w.State.OnGrant = func(host, id string) {
+	w.State.OnLease = func(host, id string) {
 		if i, ok := index[host]; ok {
-			granted[id] = life{i, w.nodes[i].gen}
+			granted[id] = life{i, w.nodes[i].generation}
 		}
 	}
 	w.OnSend = func(from string, c actor.Call) {
@@ -42,7 +42,7 @@
 		if !ok || c.Addr != stateAddr {
 			return
 		}
-		me := life{i, w.nodes[i].gen}
+		me := life{i, w.nodes[i].generation}
 		if id, ok := strings.CutPrefix(c.Path, wire.PathGrants+"/"); ok && c.Method == "POST" {
 			if id = strings.TrimSuffix(id, "/renew"); granted[id] != me {
 				t.Errorf("%v: %s renews lease %s of another process", w.now, from, id)
@@ -65,30 +65,30 @@
 			if s%2 == 0 {
 				w = seven(7000 + s)
 			}
-			w.State.Slow, w.Stuck, w.Copies = 50, 500, 60
+			w.State.SlowOneIn, w.StallOneIn, w.DuplicateOneIn = 50, 500, 60
 			w.tookOver(t)
 			w.Workload(60, 200*time.Second)
 			for range 12 {
-				w.At(w.secs(8, 260), func() {
+				w.At(w.randomSecs(8, 260), func() {
 					l, n := w.Leader(), len(w.nodes)
 					switch w.rng.IntN(6) {
 					case 0: // all at once, perhaps several times
 						times := 1 + w.rng.IntN(4)
 						for i := range w.nodes {
-							w.again(i, times, w.soon(), w.secs(0.1, 3))
+							w.again(i, times, w.soon(), w.randomSecs(0.1, 3))
 						}
 					case 1, 2: // the leader, and who follows it, in the middle of the election
 						for k := range 1 + w.rng.IntN(3) {
-							w.after(time.Duration(k)*w.secs(0.05, 1.5), func() { w.Crash(max(0, w.Leader()), w.soon()) })
+							w.after(time.Duration(k)*w.randomSecs(0.05, 1.5), func() { w.Crash(max(0, w.Leader()), w.soon()) })
 						}
-						w.after(w.secs(0.02, 4), func() { w.Crash(w.rng.IntN(n), w.soon()) })
+						w.after(w.randomSecs(0.02, 4), func() { w.Crash(w.rng.IntN(n), w.soon()) })
 					case 3: // one that ends again and again
 						if l < 0 || w.rng.IntN(2) == 0 {
 							l = w.rng.IntN(n)
 						}
-						w.again(l, 5+w.rng.IntN(40), 200*time.Millisecond, w.secs(0.1, 2))
+						w.again(l, 5+w.rng.IntN(40), 200*time.Millisecond, w.randomSecs(0.1, 2))
 					case 4:
-						w.Roll(w.secs(0.2, 2), w.soon())
+						w.RollingRestart(w.randomSecs(0.2, 2), w.soon())
 					default:
 						w.trouble()
 					}
@@ -108,7 +108,7 @@
 		w := worldOf(Config{Seed: uint64(70 + nodes), Nodes: nodes})
 		w.tookOver(t)
 		w.steady("steady", 1, 500*time.Millisecond, 5*time.Second, 100*time.Second, func(int) Job {
-			return Job{Shape: "sweep", Team: "free", Tasks: 1, CPUs: 1, RunS: 5}
+			return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 1, RunS: 5}
 		})
 		w.Run(40 * time.Second)
 		for i := range w.nodes {
@@ -134,14 +134,14 @@
 	w.tookOver(t)
 	w.State.Fill("b/j/j-9", 500, `{"v":2,"f":"done","at":1,"k":1,"c":1}`)
 	w.steady("steady", 1, time.Second, 5*time.Second, 40*time.Second, func(int) Job {
-		return Job{Shape: "sweep", Team: "free", Tasks: 2, CPUs: 1, RunS: 5}
+		return Job{Kind: "sweep", Team: "free", Tasks: 2, CPUs: 1, RunS: 5}
 	})
 	w.Run(20 * time.Second)
 	bad, token := (w.Leader()+1)%3, w.leaderToken()
 	w.again(bad, 30, 200*time.Millisecond, 300*time.Millisecond)
-	asked := w.State.Asked[w.NodeName(bad)]
+	asked := w.State.Requests[w.NodeName(bad)]
 	w.Run(35 * time.Second)
-	if n := float64(w.State.Asked[w.NodeName(bad)]-asked) / 15; n > 75 {
+	if n := float64(w.State.Requests[w.NodeName(bad)]-asked) / 15; n > 75 {
 		t.Errorf("the node that ends again and again asks %.0f times a second", n)
 	}
 	if w.leaderToken() != token {
@@ -156,7 +156,7 @@
 
 func (w *World) leaderToken() uint64 {
 	if l := w.Leader(); l >= 0 {
-		token, _ := w.nodes[l].n.Leading()
+		token, _ := w.nodes[l].node.Leading()
 		return token
 	}
 	return 0
@@ -174,9 +174,9 @@
 		{`{"node":"elsewhere","nonce":"n0-1","v":1,"permit":99}`, 2900 * time.Millisecond, 4500 * time.Millisecond},
 	} {
 		w := world(78)
-		w.State.grants[99] = &stateGrant{ttl: 3 * time.Second, ends: 3 * time.Second}
+		w.State.leases[99] = &stateLease{ttl: 3 * time.Second, ends: 3 * time.Second}
 		w.State.epoch++
-		w.State.keys["b/leader"] = &stateKey{value: []byte(c.value), stamp: w.State.epoch, grant: 99}
+		w.State.keys["b/leader"] = &stateKey{value: []byte(c.value), stamp: w.State.epoch, lease: 99}
 		w.tookOver(t)
 		for w.Leader() < 0 && w.now < 10*time.Second {
 			w.Run(w.now + 10*time.Millisecond)
@@ -194,23 +194,23 @@
 	final := 0
 	for _, s := range seeds(t, 8) {
 		w := world(7500 + s)
-		w.Balance()
-		w.Copies = 100
+		w.StartLoadBalancer()
+		w.DuplicateOneIn = 100
 		w.tookOver(t)
 		w.Workload(60, 150*time.Second)
 		w.CancelAtEnd(0.4, 220*time.Second)
 		for range 6 {
-			w.At(w.secs(20, 180), func() {
-				w.CancelNow(6, []time.Duration{0, w.secs(5, 29)}[w.rng.IntN(2)])
+			w.At(w.randomSecs(20, 180), func() {
+				w.CancelRunning(6, []time.Duration{0, w.randomSecs(5, 29)}[w.rng.IntN(2)])
 				switch w.rng.IntN(3) {
 				case 0: // handed over and back
 					for k := range 3 {
-						w.after(time.Duration(k)*w.secs(0.1, 0.9), func() { w.Crash(max(0, w.Leader()), w.soon()) })
+						w.after(time.Duration(k)*w.randomSecs(0.1, 0.9), func() { w.Crash(max(0, w.Leader()), w.soon()) })
 					}
 				case 1: // all end, one returns first
 					first := w.rng.IntN(3)
 					for i := range w.nodes {
-						back := w.secs(1, 9)
+						back := w.randomSecs(1, 9)
 						if i == first {
 							back = w.soon()
 						}
@@ -218,19 +218,19 @@
 					}
 				default:
 					for i := range w.nodes {
-						w.again(i, 3, w.soon(), w.secs(0.1, 1))
+						w.again(i, 3, w.soon(), w.randomSecs(0.1, 1))
 					}
 				}
 			})
 		}
-		w.Calm = 240 * time.Second
+		w.FaultsEndAt = 240 * time.Second
 		w.Run(900 * time.Second)
 		w.verdict(t, 10)
 		for _, j := range w.jobs {
 			if j.cancelledAt > 0 {
 				final++
 			}
-			if j.toldDone && j.cancelledAt > 0 {
+			if j.reportedDone && j.cancelledAt > 0 {
 				t.Errorf("seed %d: %s was called both done and cancelled", s, j.id)
 			}
 		}
--- a/internal/sim/restore_test.go
+++ b/internal/sim/restore_test.go
@@ -34,10 +34,10 @@
 			}
 			t.Errorf("seed %d: a live state has %+v", seed, f)
 		}
-		w.Run(75*time.Second + w.secs(5, 60))
+		w.Run(75*time.Second + w.randomSecs(5, 60))
 		token := uint64(0)
 		for _, m := range w.Machines() {
-			token = max(token, m.baton)
+			token = max(token, m.token)
 		}
 		for i := range w.nodes {
 			w.Crash(i, 25*time.Second)
@@ -85,7 +85,7 @@
 			t.Errorf("a second restore over a cluster that runs got %v", err)
 		}
 		w.Run(restored + 700*time.Second)
-		for _, b := range w.Broken {
+		for _, b := range w.Violations {
 			// What users were told after the snapshot is lost, nothing can mend that.
 			if !strings.Contains(b, " went_back:") && !strings.Contains(b, " ran_cancelled:") {
 				t.Errorf("seed %d: %s", seed, b)
@@ -95,8 +95,8 @@
 			t.Errorf("seed %d: unfinished %v", seed, u)
 		}
 		for _, m := range w.Machines() {
-			if m.up && !m.hanging() && m.baton <= token {
-				t.Errorf("seed %d: %s obeys token %d, it had seen %d", seed, m.Name, m.baton, token)
+			if m.up && !m.hanging() && m.token <= token {
+				t.Errorf("seed %d: %s obeys token %d, it had seen %d", seed, m.Name, m.token, token)
 			}
 		}
 		t.Logf("seed %d: %d keys, %d tasks placed in it, %d writes lost on the way, %d tasks started until then, %d after", seed, n.Keys, n.Placed, broken, started, w.Started-started)
--- a/internal/sim/rollout_measure_test.go
+++ b/internal/sim/rollout_measure_test.go
@@ -21,7 +21,7 @@
 		late := 5 + w.rng.IntN(40)
 		w.mustRollout(t, Version{Service: "shop", Job: next("j-2", fmt.Sprintf("web:late=%d", late), 12), From: "j-1", Surge: 1 + w.rng.IntN(3), Unavailable: w.rng.IntN(2),
 			Plan: map[string]any{"steps": []any{1, "25%", "50%"}, "bake_s": 8.0, "window_s": 30.0}, Health: health})
-		before := w.State.Changed
+		before := w.State.Changes
 		begun := map[*runner]bool{}
 		state := ""
 		var at time.Duration
@@ -32,19 +32,19 @@
 					begun[r] = true
 				}
 			}
-			if state, _, _ = w.Past("shop", 1); state != "" {
+			if state, _, _ = w.PastRollout("shop", 1); state != "" {
 				at = w.now
 			}
 		}
 		j := w.jobs["j-2"]
-		if state != "rolled back" || j.firstBad == 0 {
-			t.Fatalf("seed %d: %q, first bad answer at %v", seed, state, j.firstBad)
+		if state != "rolled back" || j.firstUnhealthy == 0 {
+			t.Fatalf("seed %d: %q, first bad answer at %v", seed, state, j.firstUnhealthy)
 		}
 		replaced += len(begun)
-		changes += w.State.Changed - before
-		_ = toStop.RecordValue(max(1, (w.services["shop"].Halted["j-1"] - j.firstBad).Milliseconds()))
-		_ = toBack.RecordValue((at - j.firstBad).Milliseconds())
-		if d := w.services["shop"].Halted["j-1"] - j.firstBad; d > 10*time.Second {
+		changes += w.State.Changes - before
+		_ = toStop.RecordValue(max(1, (w.services["shop"].LastHalted["j-1"] - j.firstUnhealthy).Milliseconds()))
+		_ = toBack.RecordValue((at - j.firstUnhealthy).Milliseconds())
+		if d := w.services["shop"].LastHalted["j-1"] - j.firstUnhealthy; d > 10*time.Second {
 			t.Errorf("seed %d: an old instance was stopped %v after the first bad answer", seed, d)
 		}
 		w.noneBroken(t)
--- a/internal/sim/rollout_test.go
+++ b/internal/sim/rollout_test.go
@@ -17,10 +17,10 @@
 	c.Nodes = 3
 	w := worldOf(c)
 	w.At(2*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Shape: "standing", Team: "free", Image: "web:good", ImageGB: 0.1, Tasks: tasks, CPUs: 2})
+		w.Submit(Job{ID: "j-1", Kind: "standing", Team: "free", Image: "web:good", ImageGB: 0.1, Tasks: tasks, CPUs: 2})
 	})
 	w.Run(40 * time.Second)
-	if n := w.Well("j-1"); n != tasks {
+	if n := w.HealthyInstances("j-1"); n != tasks {
 		t.Fatalf("%d of %d instances serve", n, tasks)
 	}
 	return w
@@ -43,7 +43,7 @@
 func (w *World) until(name string, n int, most time.Duration) (state, why string) {
 	for end := w.now + most; w.now < end; {
 		w.Run(w.now + 500*time.Millisecond)
-		if state, why, _ = w.Past(name, n); state != "" {
+		if state, why, _ = w.PastRollout(name, n); state != "" {
 			return state, why
 		}
 	}
@@ -56,7 +56,7 @@
 
 func (w *World) noneBroken(t testing.TB) {
 	t.Helper()
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 }
@@ -80,7 +80,7 @@
 		{"web:exit=3", "rolled back", "ended by", 2},
 	} {
 		w := serviceWorld(t, Config{Seed: 81}, 10)
-		before := w.State.Changed
+		before := w.State.Changes
 		h := map[string]any{}
 		for k, v := range health {
 			h[k] = v
@@ -99,7 +99,7 @@
 				}
 			}
 			most = max(most, n)
-			state, why, _ = w.Past("shop", 1)
+			state, why, _ = w.PastRollout("shop", 1)
 		}
 		if state != c.state || !strings.Contains(why, c.why) || most > c.touched {
 			t.Errorf("%s: %q because %q, %d new instances at most", c.image, state, why, most)
@@ -109,12 +109,12 @@
 		if c.state == "done" {
 			good, other = other, good
 		}
-		if w.Well(good) != 10 || len(w.services["shop"].instances(w)) != 10 {
-			t.Errorf("%s: %d instances of %s serve, %d are there", c.image, w.Well(good), good, len(w.services["shop"].instances(w)))
+		if w.HealthyInstances(good) != 10 || len(w.services["shop"].instances(w)) != 10 {
+			t.Errorf("%s: %d instances of %s serve, %d are there", c.image, w.HealthyInstances(good), good, len(w.services["shop"].instances(w)))
 		}
 		_ = other
 		w.noneBroken(t)
-		t.Logf("%-12s %-12s after %v, %d new instances, %d changes: %s", c.image, state, w.now, most, w.State.Changed-before, why)
+		t.Logf("%-12s %-12s after %v, %d new instances, %d changes: %s", c.image, state, w.now, most, w.State.Changes-before, why)
 	}
 }
 
@@ -154,7 +154,7 @@
 				}
 				w.OnSend = nil
 				w.Run(w.now + 60*time.Second)
-				if n := w.Well(good); n != 6 || len(w.services["shop"].instances(w)) != 6 {
+				if n := w.HealthyInstances(good); n != 6 || len(w.services["shop"].instances(w)) != 6 {
 					t.Errorf("%s, all %v, %v: %d serve, %d are there", image, all, late, n, len(w.services["shop"].instances(w)))
 				}
 				w.noneBroken(t)
@@ -190,7 +190,7 @@
 	}
 	machineOf := func(w *World, job string) *Machine {
 		for _, m := range w.Machines() {
-			for _, r := range m.sorted() {
+			for _, r := range m.sortedTasks() {
 				if r.job.id == job && r.phase == "running" {
 					return m
 				}
@@ -212,12 +212,12 @@
 		for i := range 4 {
 			w.after(time.Duration(12+15*i)*time.Second, func() {
 				if m := machineOf(w, "j-2"); m != nil {
-					m.Die()
+					m.Fail()
 				}
 			})
 		}
 		expect(t, w, 1, "done", "")
-		if n := w.Well("j-2"); n != 6 {
+		if n := w.HealthyInstances("j-2"); n != 6 {
 			t.Errorf("%d of 6 serve", n)
 		}
 	})
@@ -268,7 +268,7 @@
 				w.AskService("shop", "withdraw", func(int, []byte) {})
 				expect(t, w, 1, "withdrawn", "withdrawn by ana")
 			case "old":
-				w.services["shop"].free = true
+				w.services["shop"].withdrawn = true
 				w.cancel(w.jobs["j-1"])
 				expect(t, w, 1, "withdrawn", "j-1 was withdrawn")
 			case "new":
@@ -287,18 +287,18 @@
 		// A new instance that asks for more than any limit of the team leaves.
 		j := next("j-2", "web:good", 6)
 		j.Team, j.CPUs = "red", 16
-		w.Submit(Job{ID: "j-9", Shape: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 9, CPUs: 16, Urgency: "critical"})
+		w.Submit(Job{ID: "j-9", Kind: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 9, CPUs: 16, Urgency: "critical"})
 		w.Run(w.now + 90*time.Second)
 		w.mustRollout(t, Version{Service: "shop", Job: j, From: "j-1", Surge: 2, Plan: map[string]any{"stall_s": 60.0}, Health: health})
 		w.Run(w.now + 100*time.Second)
-		if n := w.Well("j-1"); n < 6 {
+		if n := w.HealthyInstances("j-1"); n < 6 {
 			t.Errorf("%d of 6 old instances serve", n)
 		}
 		expect(t, w, 1, "rolled back", "no progress")
 	})
 	t.Run("two roll-outs, a consolidation, other work", func(t *testing.T) {
 		w := serviceWorld(t, Config{Seed: 90}, 6)
-		w.Submit(Job{ID: "j-7", Shape: "standing", Team: "free", Image: "web:good", ImageGB: 0.1, Tasks: 5, CPUs: 3})
+		w.Submit(Job{ID: "j-7", Kind: "standing", Team: "free", Image: "web:good", ImageGB: 0.1, Tasks: 5, CPUs: 3})
 		w.Workload(30, 100*time.Second)
 		w.Run(w.now + 30*time.Second)
 		roll(t, w, "web:good", nil)
@@ -339,9 +339,9 @@
 		w.Run(w.now + 15*time.Second)
 		w.AskService("shop", "pause", func(int, []byte) {})
 		w.Run(w.now + 20*time.Second)
-		n := w.Well("j-3")
+		n := w.HealthyInstances("j-3")
 		w.Run(w.now + 60*time.Second)
-		if m := w.Well("j-3"); m != n || n == 0 || n == 9 {
+		if m := w.HealthyInstances("j-3"); m != n || n == 0 || n == 9 {
 			t.Errorf("%d new instances when paused, %d a minute later", n, m)
 		}
 		w.Rollout(Version{Service: "shop", Job: next("j-4", "web:good", 9), Surge: 1}, func(status int, body []byte) {
@@ -352,7 +352,7 @@
 		w.Run(w.now + 5*time.Second)
 		w.AskService("shop", "abort", func(int, []byte) {})
 		expect(t, w, 2, "rolled back", "aborted by ana")
-		if n := w.Well("j-2"); n != 9 {
+		if n := w.HealthyInstances("j-2"); n != 9 {
 			t.Errorf("%d of 9 of the old version serve", n)
 		}
 	})
@@ -373,40 +373,40 @@
 			image := images[w.rng.IntN(len(images))]
 			id := fmt.Sprintf("j-%d", i+2)
 			for range 1 + w.rng.IntN(4) {
-				at := w.secs(0, 90)
+				at := w.randomSecs(0, 90)
 				switch w.rng.IntN(8) {
 				case 0:
-					w.after(at, func() { w.Crash(max(0, w.Leader()), w.secs(1, 5)) })
+					w.after(at, func() { w.Crash(max(0, w.Leader()), w.randomSecs(1, 5)) })
 				case 1:
 					w.after(at, func() {
 						for i := range w.nodes {
-							w.Crash(i, w.secs(1, 5))
+							w.Crash(i, w.randomSecs(1, 5))
 						}
 					})
 				case 2:
-					w.after(at, func() { w.State.Outage(w.secs(1, 12)) })
+					w.after(at, func() { w.State.Outage(w.randomSecs(1, 12)) })
 				case 3:
 					w.after(at, func() {
 						if ms := w.Machines(); len(ms) > 0 {
-							ms[w.rng.IntN(len(ms))].Die()
+							ms[w.rng.IntN(len(ms))].Fail()
 						}
 					})
 				case 4:
-					w.after(at, func() { w.Freeze(max(0, w.Leader()), w.secs(2, 8)) })
+					w.after(at, func() { w.Freeze(max(0, w.Leader()), w.randomSecs(2, 8)) })
 				case 5:
 					w.after(at, func() {
 						if ms := w.Machines(); len(ms) > 0 {
-							w.Cut(w.NodeName(max(0, w.Leader())), ms[w.rng.IntN(len(ms))].Name, w.secs(5, 40), w.rng.IntN(2) == 0)
+							w.Cut(w.NodeName(max(0, w.Leader())), ms[w.rng.IntN(len(ms))].Name, w.randomSecs(5, 40), w.rng.IntN(2) == 0)
 						}
 					})
 				case 6:
 					w.after(at, func() {
 						if ms := w.Machines(); len(ms) > 0 {
-							ms[w.rng.IntN(len(ms))].Hang(w.secs(2, 25))
+							ms[w.rng.IntN(len(ms))].Hang(w.randomSecs(2, 25))
 						}
 					})
 				case 7:
-					w.after(at, func() { w.Cut(w.NodeName(max(0, w.Leader())), "state", w.secs(2, 12), true) })
+					w.after(at, func() { w.Cut(w.NodeName(max(0, w.Leader())), "state", w.randomSecs(2, 12), true) })
 				}
 			}
 			w.mustRollout(t, Version{Service: "shop", Job: next(id, image, 8), From: map[bool]string{true: "j-1"}[i == 0], Surge: 1 + w.rng.IntN(2), Unavailable: w.rng.IntN(2),
@@ -427,7 +427,7 @@
 			}
 		}
 		w.Run(w.now + 120*time.Second)
-		if k := w.Well(good); k != 8 || len(w.services["shop"].instances(w)) != 8 {
+		if k := w.HealthyInstances(good); k != 8 || len(w.services["shop"].instances(w)) != 8 {
 			t.Errorf("seed %d: %d of 8 instances of %s serve, %d are there", seed, k, good, len(w.services["shop"].instances(w)))
 		}
 		w.noneBroken(t)
--- a/internal/sim/served_test.go
+++ b/internal/sim/served_test.go
@@ -14,12 +14,12 @@
 func TestEveryClassIsServed(t *testing.T) {
 	urgent := func(tasks int, runS float64) func(int) Job {
 		return func(int) Job {
-			return Job{Shape: "sweep", Team: "free", Tasks: tasks, CPUs: 2, RunS: runS, Spot: true, Urgency: "high", SnapshotS: 5, StowS: 1}
+			return Job{Kind: "sweep", Team: "free", Tasks: tasks, CPUs: 2, RunS: runS, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 1}
 		}
 	}
 	low := func(team string, tasks int, cpus, runS float64) func(int) Job {
 		return func(int) Job {
-			return Job{Shape: "sweep", Team: team, Tasks: tasks, CPUs: cpus, RunS: runS, Spot: true, Urgency: "idle", SnapshotS: 5, StowS: 1}
+			return Job{Kind: "sweep", Team: team, Tasks: tasks, CPUs: cpus, RunS: runS, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 1}
 		}
 	}
 	for _, day := range []struct {
@@ -33,13 +33,13 @@
 		{"a team with one small job", func(w *World) {
 			w.steady("flood", 1, 350*time.Millisecond, 10*time.Second, 260*time.Second, urgent(6, 30))
 			w.At(100*time.Second, func() {
-				w.Submit(Job{ID: "j-900001", Class: "single", Shape: "sweep", Team: "red", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 10, Spot: true, Urgency: "idle"})
+				w.Submit(Job{ID: "j-900001", Class: "single", Kind: "sweep", Team: "red", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 10, Spot: true, Urgency: "idle"})
 			})
 		}},
 		{"only a limit is short", func(w *World) {
 			w.steady("limited", 1, 5*time.Second, 10*time.Second, 180*time.Second, low("red", 20, 2, 20))
 			w.steady("prompt", 2, 6*time.Second, 10*time.Second, 220*time.Second, func(int) Job {
-				return Job{Shape: "sweep", Team: "red", Tasks: 4, CPUs: 2, RunS: 5, Spot: true, Urgency: "high"}
+				return Job{Kind: "sweep", Team: "red", Tasks: 4, CPUs: 2, RunS: 5, Spot: true, Urgency: "high"}
 			})
 		}},
 		{"low under high all day", func(w *World) {
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -12,10 +12,10 @@
 	"brooklb/internal/actor"
 )
 
-// How an instance of a stand-in service behaves is in the name of its image, after
-// a colon: good, bad (answers 500), some (each third instance does), late=20 (bad
-// after 20 s), slow, flap, mute (never answers), refuse (listens nowhere), exit=5
-// (ends with an error after 5 s).
+// behaviour reads from the name of an image, after a colon, how the instances of a
+// stand-in service behave: good, bad (answers 500), some (each third instance answers
+// 500), late=20 (bad after 20 s), slow, flap (bad every other 4 s), mute (never answers),
+// refuse (listens on no port), exit=5 (ends with an error after 5 s).
 func behaviour(image string) (name string, after time.Duration) {
 	_, b, _ := strings.Cut(image, ":")
 	b, n, _ := strings.Cut(b, "=")
@@ -23,14 +23,14 @@
 	return b, time.Duration(s * float64(time.Second))
 }
 
-// ends says after what time an instance ends by itself.
-func (j *userJob) ends() (time.Duration, bool) {
+// exitsAfter is the run time after which an instance ends by itself, if it does.
+func (j *userJob) exitsAfter() (time.Duration, bool) {
 	b, after := behaviour(j.image)
 	return after, b == "exit"
 }
 
-// ServiceAnswer is what an instance that has run for so long answers to a check;
-// status 0: it never does.
+// ServiceAnswer is the answer to a check of an instance that has run for the time ran;
+// status 0: it never answers.
 func ServiceAnswer(image string, task int, ran time.Duration) (status int, delay time.Duration) {
 	b, after := behaviour(image)
 	switch {
@@ -44,25 +44,25 @@
 	return 200, time.Millisecond
 }
 
-// listens is the port of an instance, 0 if it has none.
-func (r *runner) listens() int {
+// listenPort is the port of an instance, 0 if it has none.
+func (r *runner) listenPort() int {
 	if r.job.port > 0 && r.job.perTask {
 		return r.job.port + r.task
 	}
 	return r.job.port
 }
 
-// wellAt says whether an instance that began to run serves, in truth.
-func (r *runner) wellAt(now time.Duration) bool {
+// healthyAt reports whether the instance runs and answers checks with 200 in less than 1 s.
+func (r *runner) healthyAt(now time.Duration) bool {
 	b, _ := behaviour(r.job.image)
 	if r.phase != "running" || b == "refuse" {
 		return false
 	}
-	status, delay := ServiceAnswer(r.job.image, r.task, now-r.from)
+	status, delay := ServiceAnswer(r.job.image, r.task, now-r.startedAt)
 	return status == 200 && delay < time.Second
 }
 
-// endpoint is a port of a machine other than its worker's.
+// endpoint is a port of a machine on which instances of services may listen.
 type endpoint struct {
 	m    *Machine
 	port string
@@ -73,8 +73,8 @@
 
 // runner is the instance that listens on the port.
 func (e *endpoint) runner() *runner {
-	for _, r := range e.m.sorted() {
-		if b, _ := behaviour(r.job.image); r.phase == "running" && strconv.Itoa(r.listens()) == e.port && b != "refuse" {
+	for _, r := range e.m.sortedTasks() {
+		if b, _ := behaviour(r.job.image); r.phase == "running" && strconv.Itoa(r.listenPort()) == e.port && b != "refuse" {
 			return r
 		}
 	}
@@ -87,59 +87,62 @@
 		return
 	}
 	w := e.m.w
-	status, delay := ServiceAnswer(r.job.image, r.task, w.now-r.from)
-	w.Checks++
+	status, delay := ServiceAnswer(r.job.image, r.task, w.now-r.startedAt)
+	w.HealthChecks++
 	if status == 0 {
 		return
 	}
-	if status != 200 && r.job.firstBad == 0 {
-		r.job.firstBad = w.now
+	if status != 200 && r.job.firstUnhealthy == 0 {
+		r.job.firstUnhealthy = w.now
 	}
 	w.after(delay, func() { reply(status, []byte("{}")) })
 }
 
-// userService is a service as its users and the truth know it.
+// userService is a service as its users and the stand-ins see it.
 type userService struct {
 	name     string
 	versions []*userJob
-	// The bounds of the newest roll-out.
-	most, least int
-	// forgive is how long an instance counts as healthy after it was last: nobody
-	// can know sooner.
-	forgive time.Duration
-	// wasWell has when instances were last healthy, lost when some were lost by
-	// themselves or with their machines.
-	wasWell map[*runner]time.Duration
-	lost    []time.Duration
-	// Halted is when an instance was last stopped by order, by version.
-	Halted map[string]time.Duration
-	free   bool // withdrawn: nothing is to be kept
+	// The bounds on the number of instances during the newest roll-out.
+	maxInstances, minInstances int
+	// healthyGrace is how long an instance counts as healthy after it last was, since
+	// the controllers cannot notice the change sooner.
+	healthyGrace time.Duration
+	// lastHealthy is when instances were last healthy; lostAt are the times at which
+	// instances failed or were lost with their machines.
+	lastHealthy map[*runner]time.Duration
+	lostAt      []time.Duration
+	// LastHalted is when a running instance was last stopped by an order, by version.
+	LastHalted map[string]time.Duration
+	withdrawn  bool // no instances need to be kept
 }
 
 // Version describes a version to roll out.
 type Version struct {
 	Service string
-	Job     Job // a service; ID is its version's
+	Job     Job // of a service; its ID names the version
 	From    string
 	Plan    map[string]any // further fields of the request
 	Health  map[string]any // nil: none
-	// Surge and Unavailable as instances; the plan gets them.
+	// Surge and Unavailable are numbers of instances, sent with the plan.
 	Surge, Unavailable int
 }
 
+// describe makes the job and its description as the protocol has it. In a description
+// a lane is a class, a crew a team, a bundle an image, a yard a zone and a loaner a spot
+// machine.
 func (w *World) describe(d Job) (*userJob, map[string]any) {
 	if d.Urgency == "" {
 		d.Urgency = "standard"
 	}
-	j := &userJob{id: d.ID, shape: d.Shape, team: d.Team, image: d.Image, yard: d.Yard, urgency: d.Urgency, tasks: d.Tasks, cpus: d.CPUs, gpus: d.GPUs,
-		imageGB: d.ImageGB, samePlace: d.SamePlace, apart: d.Apart, spot: d.Spot, bad: d.Bad, runS: d.RunS, runSpread: d.RunSpread, snapshotS: d.SnapshotS, stowS: d.StowS,
-		results: map[int]bool{}, saved: map[int]time.Duration{}, asked: true, Submitted: w.now}
-	lane := d.Class
-	if lane == "" {
-		lane = "c-" + d.Shape
+	j := &userJob{id: d.ID, kind: d.Kind, team: d.Team, image: d.Image, zone: d.Zone, urgency: d.Urgency, tasks: d.Tasks, cpus: d.CPUs, gpus: d.GPUs,
+		imageGB: d.ImageGB, samePlace: d.SamePlace, apart: d.Apart, spot: d.Spot, faulty: d.Faulty, runS: d.RunS, runSpread: d.RunSpread, snapshotS: d.SnapshotS, saveS: d.SaveS,
+		results: map[int]bool{}, saved: map[int]time.Duration{}, requested: true, Submitted: w.now}
+	class := d.Class
+	if class == "" {
+		class = "c-" + d.Kind
 	}
-	j.class = lane
-	var yard, due any
+	j.class = class
+	var zone, due any
 	if d.DueS > 0 {
 		due = d.DueS
 	}
@@ -147,33 +150,33 @@
 	if expect == 0 {
 		expect = d.RunS
 	}
-	if d.Yard != "" {
-		yard = d.Yard
+	if d.Zone != "" {
+		zone = d.Zone
 	}
 	w.jobs[d.ID] = j
-	asks := []map[string]any{}
+	unitRequests := []map[string]any{}
 	var names []string
 	for name := range d.Units {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		asks = append(asks, map[string]any{"name": name, "count": d.Units[name]})
+		unitRequests = append(unitRequests, map[string]any{"name": name, "count": d.Units[name]})
 	}
 	j.units = d.Units
-	return j, map[string]any{"units": asks, "ref": d.ID, "lane": lane, "crew": d.Team, "shape": d.Shape, "urgency": d.Urgency, "shards": d.Tasks,
-		"cpus": d.CPUs, "gpus": d.GPUs, "memory_gb": 1.0, "bundle": d.Image, "size_gb": d.ImageGB, "hulls": nil, "yard": yard,
-		"same_place": d.SamePlace, "apart": d.Apart, "loaners": d.Spot, "expect_s": expect, "snapshot_s": d.SnapshotS, "stow_s": d.StowS, "due_s": due}
+	return j, map[string]any{"units": unitRequests, "ref": d.ID, "lane": class, "crew": d.Team, "shape": d.Kind, "urgency": d.Urgency, "shards": d.Tasks,
+		"cpus": d.CPUs, "gpus": d.GPUs, "memory_gb": 1.0, "bundle": d.Image, "size_gb": d.ImageGB, "hulls": nil, "yard": zone,
+		"same_place": d.SamePlace, "apart": d.Apart, "loaners": d.Spot, "expect_s": expect, "snapshot_s": d.SnapshotS, "stow_s": d.SaveS, "due_s": due}
 }
 
-// Rollout has a user ask for a roll-out until it is accepted or refused for good;
+// Rollout makes a user request a roll-out until it is accepted or refused permanently;
 // done gets the status and the body.
 func (w *World) Rollout(v Version, done func(status int, body []byte)) {
-	v.Job.Shape = "standing"
+	v.Job.Kind = "standing"
 	j, job := w.describe(v.Job)
 	s := w.services[v.Service]
 	if s == nil {
-		s = &userService{name: v.Service, wasWell: map[*runner]time.Duration{}, Halted: map[string]time.Duration{}}
+		s = &userService{name: v.Service, lastHealthy: map[*runner]time.Duration{}, LastHalted: map[string]time.Duration{}}
 		w.services[v.Service] = s
 		w.watchService(s)
 		if len(w.services) == 1 {
@@ -188,7 +191,7 @@
 	old := 0
 	for _, x := range s.versions {
 		old = x.tasks
-		x.cancelAsked = true // it may be replaced
+		x.cancelAsked = true // a roll-out may cancel it
 	}
 	j.cancelAsked = true
 	body := map[string]any{"job": job, "by": "ana", "surge": v.Surge, "unavailable": v.Unavailable}
@@ -198,7 +201,7 @@
 	for k, x := range v.Plan {
 		body[k] = x
 	}
-	s.forgive = 20 * time.Second
+	s.healthyGrace = 20 * time.Second
 	if v.Health != nil {
 		body["health"] = v.Health
 		j.port, _ = v.Health["port"].(int)
@@ -212,13 +215,13 @@
 	b := mustJSON(body)
 	var ask func(n int)
 	ask = func(n int) {
-		w.ask("POST", "/services/"+v.Service+"/rollouts", b, 5*time.Second, func(a actor.Answer) {
+		w.request("POST", "/services/"+v.Service+"/rollouts", b, 5*time.Second, func(a actor.Answer) {
 			switch {
 			case a.Err == nil && (a.Status == 200 || a.Status == 201):
 				s.versions = append(s.versions, j)
-				s.most, s.least = max(old, j.tasks)+v.Surge, max(0, min(old, j.tasks)-v.Unavailable)
+				s.maxInstances, s.minInstances = max(old, j.tasks)+v.Surge, max(0, min(old, j.tasks)-v.Unavailable)
 				if old == 0 {
-					s.least = 0
+					s.minInstances = 0
 				}
 				done(a.Status, a.Body)
 			case a.Err == nil && a.Status >= 400 && a.Status < 500 && a.Status != 429:
@@ -228,12 +231,12 @@
 			}
 		})
 	}
-	// It may begin before the user hears of it.
-	s.most = max(s.most, max(old, j.tasks)+v.Surge)
+	// The roll-out may begin before the user gets the answer.
+	s.maxInstances = max(s.maxInstances, max(old, j.tasks)+v.Surge)
 	ask(0)
 }
 
-// AskService has a user ask for something until it is answered.
+// AskService makes a user send a request about a service until it is answered.
 func (w *World) AskService(name, verb string, done func(status int, body []byte)) {
 	method, path := "POST", "/services/"+name+"/"+verb
 	if verb == "" || verb == "history" {
@@ -241,11 +244,11 @@
 	}
 	var ask func(n int)
 	ask = func(n int) {
-		w.ask(method, path, []byte(`{"by":"ana"}`), 5*time.Second, func(a actor.Answer) {
+		w.request(method, path, []byte(`{"by":"ana"}`), 5*time.Second, func(a actor.Answer) {
 			switch {
 			case a.Err == nil && a.Status < 500 && a.Status != 429:
 				if verb == "withdraw" && a.Status == 200 {
-					w.services[name].free = true
+					w.services[name].withdrawn = true
 				}
 				done(a.Status, a.Body)
 			case n < 200:
@@ -256,10 +259,10 @@
 	ask(0)
 }
 
-// instances are all that is left of the service's versions on machines.
+// instances are the attempts of the service's versions on machines that have not ended.
 func (s *userService) instances(w *World) (out []*runner) {
 	for _, m := range w.Machines() {
-		for _, r := range m.sorted() {
+		for _, r := range m.sortedTasks() {
 			if r.job.service == s.name && r.phase != "ended" && r.phase != "gone" {
 				out = append(out, r)
 			}
@@ -268,11 +271,11 @@
 	return out
 }
 
-// Well counts the instances of a version that serve, in truth.
-func (w *World) Well(job string) (n int) {
+// HealthyInstances counts the instances of a version that are healthy now.
+func (w *World) HealthyInstances(job string) (n int) {
 	for _, m := range w.Machines() {
-		for _, r := range m.sorted() {
-			if r.job.id == job && r.wellAt(w.now) && !m.hanging() {
+		for _, r := range m.sortedTasks() {
+			if r.job.id == job && r.healthyAt(w.now) && !m.hanging() {
 				n++
 			}
 		}
@@ -280,91 +283,98 @@
 	return n
 }
 
+// watchService tracks the health of the service's instances, every 250 ms.
 func (w *World) watchService(s *userService) {
 	w.after(250*time.Millisecond, func() { w.watchService(s) })
 	for _, j := range w.jobs {
-		// What a roll-out has replaced or taken back is over as if its user had said so.
+		// A version that a roll-out has replaced or rolled back counts as cancelled.
 		if k := w.State.keys["b/j/"+j.id]; j.service == s.name && j.cancelledAt == 0 && k != nil && strings.Contains(string(k.value), `"f":"cancelled"`) {
 			j.cancelledAt = w.now
 		}
 	}
 	for _, r := range s.instances(w) {
-		if r.wellAt(w.now) && !r.m.hanging() {
-			s.wasWell[r] = w.now
+		if r.healthyAt(w.now) && !r.m.hanging() {
+			s.lastHealthy[r] = w.now
 		}
 	}
-	for r, at := range s.wasWell {
-		if w.now-at > s.forgive {
-			delete(s.wasWell, r)
+	for r, at := range s.lastHealthy {
+		if w.now-at > s.healthyGrace {
+			delete(s.lastHealthy, r)
 		}
 	}
-	keep := s.lost[:0]
-	for _, at := range s.lost {
+	keep := s.lostAt[:0]
+	for _, at := range s.lostAt {
 		if w.now-at < 90*time.Second {
 			keep = append(keep, at)
 		}
 	}
-	s.lost = keep
+	s.lostAt = keep
 }
 
-// checkHalt holds when an instance is stopped by order: enough others must serve,
-// or must have done so until just now, or were lost for another reason.
+// checkHalt checks the roll-out's lower bound when an instance is stopped by an order:
+// the other instances that are healthy, or were within healthyGrace, or were lost for
+// another reason, must be enough.
 func (w *World) checkHalt(r *runner) {
 	s := w.services[r.job.service]
-	if s == nil || r.phase != "running" || s.free || w.cancelled(r.job) {
+	if s == nil || r.phase != "running" || s.withdrawn || w.cancellationDurable(r.job) {
 		return
 	}
-	s.Halted[r.job.id] = w.now
-	if b, _ := behaviour(r.job.image); b == "flap" || !r.wellAt(w.now) {
-		return // one that flaps may be known to be sick while it answers well
+	s.LastHalted[r.job.id] = w.now
+	if b, _ := behaviour(r.job.image); b == "flap" || !r.healthyAt(w.now) {
+		return // the controllers may still see a flapping instance as unhealthy when it is healthy
 	}
-	n := len(s.lost)
+	n := len(s.lostAt)
 	for _, x := range s.instances(w) {
-		if _, ok := s.wasWell[x]; x != r && x.phase == "running" && (ok || x.wellAt(w.now)) {
+		if _, ok := s.lastHealthy[x]; x != r && x.phase == "running" && (ok || x.healthyAt(w.now)) {
 			n++
 		}
 	}
-	if n < s.least {
-		w.broke("bound", "%s is stopped while %d others serve or did so just now, the bound is %d", r.key, n, s.least)
+	if n < s.minInstances {
+		w.reportViolation("bound", "%s is stopped while %d others are healthy or were so just now, the bound is %d", r.key, n, s.minInstances)
 	}
 }
 
-// cancelled reports whether the job's cancellation is durable: from then on its tasks are to
-// be stopped, also before its user's answer has arrived.
-func (w *World) cancelled(j *userJob) bool {
+// cancellationDurable reports whether the job's cancellation is durable. Its tasks may be
+// stopped from then on, even before the user's answer has arrived.
+func (w *World) cancellationDurable(j *userJob) bool {
 	k := w.State.keys["b/j/"+j.id]
 	return j.cancelledAt > 0 || k != nil && bytes.Contains(k.value, []byte(`"f":"cancelled"`))
 }
 
-// checkSurge holds when an instance is started.
+// checkSurge checks, when an instance is started, the roll-out's upper bound and that the
+// instance's port is free on the machine.
 func (w *World) checkSurge(r *runner) {
 	s := w.services[r.job.service]
 	if s == nil {
 		return
 	}
-	for _, x := range r.m.sorted() {
-		if x != r && x.phase != "ended" && r.listens() > 0 && x.listens() == r.listens() {
-			w.broke("port", "%s starts on %s beside %s, which has its port", r.key, r.m.Name, x.key)
+	for _, x := range r.m.sortedTasks() {
+		if x != r && x.phase != "ended" && r.listenPort() > 0 && x.listenPort() == r.listenPort() {
+			w.reportViolation("port", "%s starts on %s, where %s has the same port", r.key, r.m.Name, x.key)
 		}
 	}
-	if n := len(s.instances(w)); s.most > 0 && n > s.most {
-		w.broke("bound", "%s is the %d. instance of %s, the bound is %d", r.key, n, s.name, s.most)
+	if n := len(s.instances(w)); s.maxInstances > 0 && n > s.maxInstances {
+		w.reportViolation("bound", "%s starts as instance number %d of %s, the bound is %d", r.key, n, s.name, s.maxInstances)
 	}
 }
 
-// instanceGone is told of every instance that ends.
+// instanceGone is called for every instance that ends.
 func (w *World) instanceGone(r *runner, was string) {
 	s := w.services[r.job.service]
 	if s == nil {
 		return
 	}
 	if r.phase == "gone" || r.cause == "error" {
-		s.lost = append(s.lost, w.now)
+		s.lostAt = append(s.lostAt, w.now)
 	}
-	delete(s.wasWell, r)
+	delete(s.lastHealthy, r)
 }
 
-// ServiceRecord is the state service's record of a service, as JSON.
+// ServiceRecord is the record of a service in the state service. The fields have the names
+// of its JSON keys: the current and the new version (Cur, New) with their jobs (J) and the
+// instances that are wanted (On), whether the service was withdrawn (End), the number of
+// the newest roll-out (N), and the roll-out under way (R) with its state (S), whether it is
+// paused (Z), its step (I) and the reason of its state (W).
 func (w *World) ServiceRecord(name string) (out struct {
 	Cur, New *struct {
 		J  string
@@ -385,8 +395,9 @@
 	return out
 }
 
-// Past is the n-th roll-out of a service once it is over: how it ended, and why.
-func (w *World) Past(name string, n int) (state, why string, proofs []string) {
+// PastRollout is the n-th roll-out of a service once it is over: how it ended, why, and
+// the evidence.
+func (w *World) PastRollout(name string, n int) (state, why string, evidence []string) {
 	var p struct {
 		S, W string
 		Ev   []string
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -31,10 +31,10 @@
 
 func (w *World) verdict(t *testing.T, minDone int) {
 	t.Helper()
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
-	if len(w.Broken) > 0 {
+	if len(w.Violations) > 0 {
 		return
 	}
 	if u := w.Unfinished(); len(u) > 0 {
@@ -94,19 +94,19 @@
 // trouble makes one random fault happen.
 func (w *World) trouble() {
 	r := w.rng
-	d := w.secs(2, 45)
+	d := w.randomSecs(2, 45)
 	ms := w.Machines()
 	n := len(w.nodes)
 	switch r.IntN(24) {
 	case 0, 1:
-		w.Crash(r.IntN(n), w.secs(1, 10))
+		w.Crash(r.IntN(n), w.randomSecs(1, 10))
 	case 2:
 		for i := range n {
-			w.Crash(i, w.secs(1, 10))
+			w.Crash(i, w.randomSecs(1, 10))
 		}
 	case 3:
 		if l := w.Leader(); l >= 0 {
-			w.Crash(l, w.secs(1, 10))
+			w.Crash(l, w.randomSecs(1, 10))
 		}
 	case 4:
 		w.State.Outage(min(d, 15*time.Second))
@@ -120,11 +120,11 @@
 		}
 	case 9:
 		if len(ms) > 0 {
-			ms[r.IntN(len(ms))].Die()
+			ms[r.IntN(len(ms))].Fail()
 		}
 	case 10:
 		if len(ms) > 0 {
-			w.Cloud.Take(ms[r.IntN(len(ms))], w.secs(0, 12))
+			w.Cloud.Reclaim(ms[r.IntN(len(ms))], w.randomSecs(0, 12))
 		}
 	case 11: // a zone's machines lose some of the nodes
 		z := w.cfg.Zones[r.IntN(3)]
@@ -142,7 +142,7 @@
 		i, hold := r.IntN(n), r.IntN(2) == 0
 		for _, m := range ms {
 			if r.IntN(2) == 0 {
-				w.Cut(w.NodeName(i), m.Name, w.secs(1, 60), hold)
+				w.Cut(w.NodeName(i), m.Name, w.randomSecs(1, 60), hold)
 			}
 		}
 	case 13:
@@ -150,28 +150,28 @@
 	case 14:
 		w.CutZone(w.cfg.Zones[r.IntN(3)], d, r.IntN(2) == 0)
 	case 15:
-		w.Roll(w.secs(5, 20), w.secs(3, 8))
+		w.RollingRestart(w.randomSecs(5, 20), w.randomSecs(3, 8))
 	case 16:
-		w.State.GetSlow(2 * d)
+		w.State.SlowDown(2 * d)
 	case 17, 18: // for shorter and for longer than each lease
 		i := r.IntN(n)
 		if l := w.Leader(); l >= 0 && r.IntN(3) > 0 {
 			i = l
 		}
-		w.Freeze(i, []time.Duration{w.secs(1.6, 3), w.secs(3, 20), w.secs(20, 60)}[r.IntN(3)])
+		w.Freeze(i, []time.Duration{w.randomSecs(1.6, 3), w.randomSecs(3, 20), w.randomSecs(20, 60)}[r.IntN(3)])
 	case 20:
-		w.LateWrites(0.05+0.3*r.Float64(), d)
+		w.DelayWrites(0.05+0.3*r.Float64(), d)
 	case 21:
-		w.LateReports(0.05+0.4*r.Float64(), 2*d)
+		w.RepeatReports(0.05+0.4*r.Float64(), 2*d)
 	case 22: // for shorter and for longer than a lease
 		share := r.Float64()
 		for _, m := range ms {
 			if r.Float64() < share {
-				m.Deafen(2 * d)
+				m.LoseInbound(2 * d)
 			}
 		}
 	case 23:
-		w.Alone(max(0, w.Leader()), 2*d, r.IntN(2) == 0)
+		w.Isolate(max(0, w.Leader()), 2*d, r.IntN(2) == 0)
 	case 19: // machines come up late, at once or never
 		zone, f, until := w.cfg.Zones[r.IntN(3)], []float64{-1, 0.05, 5}[r.IntN(3)], w.now+3*d
 		all := r.IntN(2) == 0
@@ -190,15 +190,15 @@
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
 			w := world(s)
-			w.State.Slow = 50
-			w.Stuck = 700
-			w.Copies = 150
+			w.State.SlowOneIn = 50
+			w.StallOneIn = 700
+			w.DuplicateOneIn = 150
 			if s%2 == 0 {
-				w.Garbage = 60
+				w.GarbageOneIn = 60
 			}
 			w.Workload(60, 200*time.Second)
 			for i := 0; i < 14; i++ {
-				w.At(w.secs(10, 260), w.trouble)
+				w.At(w.randomSecs(10, 260), w.trouble)
 			}
 			w.Run(1300 * time.Second)
 			w.verdict(t, 25)
@@ -212,17 +212,17 @@
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
 			w := seven(1000 + s)
-			w.State.Slow = 50
-			w.Stuck = 700
+			w.State.SlowOneIn = 50
+			w.StallOneIn = 700
 			w.Workload(60, 200*time.Second)
 			w.At(60*time.Second, func() { // all at once, and once more
 				for i := range w.nodes {
-					w.Crash(i, w.secs(3, 8))
+					w.Crash(i, w.randomSecs(3, 8))
 				}
 			})
-			w.At(120*time.Second, func() { w.Roll(8*time.Second, 5*time.Second) })
+			w.At(120*time.Second, func() { w.RollingRestart(8*time.Second, 5*time.Second) })
 			for i := 0; i < 10; i++ {
-				w.At(w.secs(10, 260), w.trouble)
+				w.At(w.randomSecs(10, 260), w.trouble)
 			}
 			w.Run(1300 * time.Second)
 			w.verdict(t, 25)
@@ -240,7 +240,7 @@
 	waiting := 0
 	for i := range w.nodes {
 		if i != w.Leader() {
-			waiting += w.State.Asked[w.NodeName(i)]
+			waiting += w.State.Requests[w.NodeName(i)]
 		}
 	}
 	if rate := float64(waiting) / 300; rate > 0.4*120 {
@@ -249,8 +249,8 @@
 	if w.State.Limited > 0 {
 		t.Errorf("%d requests over the rate", w.State.Limited)
 	}
-	if w.Refused*50 > w.Polls {
-		t.Errorf("%d of %d polls were refused", w.Refused, w.Polls)
+	if w.RefusedPolls*50 > w.Polls {
+		t.Errorf("%d of %d polls were refused", w.RefusedPolls, w.Polls)
 	}
 }
 
@@ -261,13 +261,13 @@
 	w := world(5)
 	w.checkCancelled()
 	w.At(5*time.Second, func() { // keeps all machines from being returned
-		w.Submit(Job{ID: "j-0", Shape: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6, CPUs: 9})
+		w.Submit(Job{ID: "j-0", Kind: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6, CPUs: 9})
 	})
 	w.At(8*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Shape: "standing", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 1, GPUs: 4, CancelAfter: 20 * time.Second})
+		w.Submit(Job{ID: "j-1", Kind: "standing", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 1, GPUs: 4, CancelAfter: 20 * time.Second})
 	})
 	w.At(9*time.Second, func() {
-		w.Submit(Job{ID: "j-2", Shape: "standing", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, GPUs: 4})
+		w.Submit(Job{ID: "j-2", Kind: "standing", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, GPUs: 4})
 	})
 	w.At(27500*time.Millisecond, func() {
 		// The first job's workers hear nobody: its tasks can't be stopped yet,
@@ -280,7 +280,7 @@
 	})
 	w.At(30*time.Second, func() { w.Crash(w.Leader(), 2*time.Second) })
 	w.Run(200 * time.Second)
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 	if w.Started < 12 {
@@ -294,7 +294,7 @@
 	for _, hold := range []bool{false, true} {
 		w := world(6)
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 4, RunS: 100})
+			w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 4, RunS: 100})
 		})
 		first := -1
 		w.At(30*time.Second, func() {
@@ -308,7 +308,7 @@
 			t.Errorf("hold %v: node %d leads still", hold, l)
 		}
 		for _, m := range w.Machines() {
-			if m.tenure > 1 {
+			if m.session > 1 {
 				t.Errorf("hold %v: the lease of %s ran out", hold, m.Name)
 			}
 		}
@@ -348,7 +348,7 @@
 	for _, s := range seeds(t, 5) {
 		w := world(s)
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "ensemble", Team: "free", Image: "large", ImageGB: 80, Tasks: 4, CPUs: 16, RunS: 20})
+			w.Submit(Job{ID: "j-1", Kind: "ensemble", Team: "free", Image: "large", ImageGB: 80, Tasks: 4, CPUs: 16, RunS: 20})
 		})
 		if s%2 == 0 { // the next leader goes on with it
 			w.At(150*time.Second, func() { w.Crash(w.Leader(), 3*time.Second) })
@@ -364,20 +364,20 @@
 	for _, s := range seeds(t, 6) {
 		w := world(s)
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "ensemble", Team: "free", Image: "large", ImageGB: 40, Tasks: 4, CPUs: 16, RunS: 20, SamePlace: s%3 == 0})
+			w.Submit(Job{ID: "j-1", Kind: "ensemble", Team: "free", Image: "large", ImageGB: 40, Tasks: 4, CPUs: 16, RunS: 20, SamePlace: s%3 == 0})
 		})
 		lost := false
 		var lose func()
 		lose = func() {
 			ms := w.Machines()
 			for _, m := range ms {
-				for _, r := range m.sorted() {
-					if r.phase == "pulling" && w.now-r.from > 3*time.Second {
+				for _, r := range m.sortedTasks() {
+					if r.phase == "pulling" && w.now-r.startedAt > 3*time.Second {
 						lost = true
 						if s%2 == 0 {
-							m.Die()
+							m.Fail()
 						} else {
-							w.Cloud.Take(m, 6*time.Second)
+							w.Cloud.Reclaim(m, 6*time.Second)
 						}
 						return
 					}
@@ -401,7 +401,7 @@
 func TestRefusedLeaderGivesWay(t *testing.T) {
 	w := world(9)
 	w.At(5*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 4, RunS: 100})
+		w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 4, RunS: 100})
 	})
 	old := -1
 	w.At(30*time.Second, func() {
@@ -413,7 +413,7 @@
 	if next == old || next < 0 {
 		t.Errorf("node %d leads still", next)
 	}
-	if _, ok := w.nodes[old].n.Leading(); ok {
+	if _, ok := w.nodes[old].node.Leading(); ok {
 		t.Error("the refused leader hasn't given way")
 	}
 	for _, m := range w.Machines() {
--- a/internal/sim/slow_test.go
+++ b/internal/sim/slow_test.go
@@ -20,18 +20,18 @@
 				Teams: []settings.Team{{Name: "free"}}, Objectives: []settings.Objective{{Kind: "deadline", Class: "c-sweep", Times: 1}}})
 			for i, m := range w.Machines() {
 				if i%6 == 0 {
-					m.Slow = slow
+					m.SlowFactor = slow
 				}
 			}
 			done := map[string]time.Duration{}
 			n := 0
-			for at := 3 * time.Second; at < 600*time.Second; at += w.secs(1, 5) {
+			for at := 3 * time.Second; at < 600*time.Second; at += w.randomSecs(1, 5) {
 				run := 20 + 40*w.rng.Float64()
 				id := fmt.Sprintf("j-%04d", n)
 				n++
 				w.At(at, func() {
-					w.Submit(Job{ID: id, Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6 + w.rng.IntN(6), CPUs: 4, RunS: run,
-						DueS: 2*run + 20, Spot: true, SnapshotS: 5, StowS: 1})
+					w.Submit(Job{ID: id, Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6 + w.rng.IntN(6), CPUs: 4, RunS: run,
+						DueS: 2*run + 20, Spot: true, SnapshotS: 5, SaveS: 1})
 				})
 			}
 			for w.now < 1100*time.Second {
@@ -42,7 +42,7 @@
 					}
 				}
 			}
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
 			for id, j := range w.jobs {
--- a/internal/sim/spell_test.go
+++ b/internal/sim/spell_test.go
@@ -26,12 +26,12 @@
 		apart   func(w *World, m *Machine, d time.Duration)
 	}{
 		{"CPUs, arrays, cut", "red", "sweep", 8, 0, 20, 1, func(w *World, m *Machine, d time.Duration) { w.cutFromAll(m, d, true) }},
-		{"CPUs, arrays, mute", "red", "sweep", 8, 0, 20, 2, func(_ *World, m *Machine, d time.Duration) { m.Mute(d) }},
+		{"CPUs, arrays, mute", "red", "sweep", 8, 0, 20, 2, func(_ *World, m *Machine, d time.Duration) { m.BlockOutbound(d) }},
 		{"CPUs, arrays, hanging", "red", "sweep", 8, 0, 20, 3, func(_ *World, m *Machine, d time.Duration) { m.Hang(min(d, 29*time.Second)) }},
 		{"CPUs, gangs, cut", "red", "ensemble", 8, 0, 4, 2, func(w *World, m *Machine, d time.Duration) { w.cutFromAll(m, d, false) }},
 		{"GPUs, gangs, cut", "blue", "ensemble", 2, 2, 2, 3, func(w *World, m *Machine, d time.Duration) { w.cutFromAll(m, d, true) }},
-		{"GPUs, arrays, deaf", "blue", "sweep", 2, 2, 10, 2, func(_ *World, m *Machine, d time.Duration) { m.Deafen(d) }},
-		{"GPUs, services, mute", "blue", "standing", 2, 2, 10, 3, func(_ *World, m *Machine, d time.Duration) { m.Mute(d) }},
+		{"GPUs, arrays, deaf", "blue", "sweep", 2, 2, 10, 2, func(_ *World, m *Machine, d time.Duration) { m.LoseInbound(d) }},
+		{"GPUs, services, mute", "blue", "standing", 2, 2, 10, 3, func(_ *World, m *Machine, d time.Duration) { m.BlockOutbound(d) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -44,7 +44,7 @@
 					n = 10 / c.tasks
 				}
 				job := func(id string, runS float64) {
-					w.Submit(Job{ID: id, Shape: c.shape, Team: c.team, Image: "i", ImageGB: 0.1, Tasks: c.tasks, CPUs: c.cpus, GPUs: c.gpus, RunS: runS})
+					w.Submit(Job{ID: id, Kind: c.shape, Team: c.team, Image: "i", ImageGB: 0.1, Tasks: c.tasks, CPUs: c.cpus, GPUs: c.gpus, RunS: runS})
 				}
 				w.At(5*time.Second, func() {
 					for i := range n {
@@ -56,7 +56,7 @@
 					use := 0.0
 					for _, m := range w.Machines() {
 						mine := 0
-						for _, r := range m.sorted() {
+						for _, r := range m.sortedTasks() {
 							if r.job.team == c.team {
 								mine++
 								use += c.cpus
@@ -65,25 +65,25 @@
 						if mine > 0 && out < 4 {
 							out++
 							hidden += mine
-							c.apart(w, m, w.secs(20, 100))
+							c.apart(w, m, w.randomSecs(20, 100))
 						}
 					}
 					if limit := map[string]float64{"red": 160, "blue": 20}[c.team]; use < limit*0.9 {
 						t.Errorf("seed %d: the team uses %v of %v: the meeting did not come about", seed, use, limit)
 					}
 					for k := range c.changes {
-						w.after(time.Duration(k)*w.secs(4, 12), func() { w.Crash(max(0, w.Leader()), w.secs(0.1, 8)) })
+						w.after(time.Duration(k)*w.randomSecs(4, 12), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 8)) })
 					}
-					w.after(w.secs(0, 10), func() {
+					w.after(w.randomSecs(0, 10), func() {
 						for i := range n {
 							w.cancel(w.jobs[fmt.Sprintf("j-9%02d", i)])
 						}
 					})
 					for i := range n { // the team's other work waits for the room
-						w.after(w.secs(0, 10), func() { job(fmt.Sprintf("j-8%02d", i), 20) })
+						w.after(w.randomSecs(0, 10), func() { job(fmt.Sprintf("j-8%02d", i), 20) })
 					}
 				})
-				w.Calm = from + 110*time.Second
+				w.FaultsEndAt = from + 110*time.Second
 				if c.shape == "standing" {
 					w.At(from+300*time.Second, func() {
 						for i := range n {
@@ -135,28 +135,28 @@
 				w := worldOf(Config{Seed: 1400 + seed, Nodes: 3})
 				w.checkCancelled()
 				for i := range 40 {
-					w.At(w.secs(5, 100), func() {
-						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Shape: []string{"sweep", "ensemble", "sweep"}[i%3], Team: []string{"red", "free"}[i%2], Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 4, RunS: 3 + float64(i%20), SnapshotS: 5, StowS: 1,
+					w.At(w.randomSecs(5, 100), func() {
+						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "sweep"}[i%3], Team: []string{"red", "free"}[i%2], Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 4, RunS: 3 + float64(i%20), SnapshotS: 5, SaveS: 1,
 							CancelAfter: time.Duration(i%5/4) * 20 * time.Second, Spot: true, Urgency: []string{"high", "idle"}[i%2]})
 					})
 				}
 				late := map[string]bool{}
 				for at := 30 * time.Second; at < 110*time.Second; at += 25 * time.Second {
-					w.At(at-w.secs(0.2, 1.5), func() { late = map[string]bool{} })
-					w.At(at, func() { w.Crash(max(0, w.Leader()), w.secs(0.05, 5)) })
+					w.At(at-w.randomSecs(0.2, 1.5), func() { late = map[string]bool{} })
+					w.At(at, func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.05, 5)) })
 					if c.twice {
-						w.At(at+8*time.Second, func() { w.Crash(max(0, w.Leader()), w.secs(0.05, 5)) })
+						w.At(at+8*time.Second, func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.05, 5)) })
 					}
 				}
-				w.Delay = func(from string, a actor.Call) time.Duration {
+				w.RequestDelay = func(from string, a actor.Call) time.Duration {
 					if a.Path != "/hello" || w.now < 28*time.Second || w.now > 115*time.Second || late[from] || w.rng.Float64() >= c.share {
 						return 0
 					}
 					late[from] = true // one report of each machine around each change
 					held++
-					return w.secs(c.hold/2, c.hold)
+					return w.randomSecs(c.hold/2, c.hold)
 				}
-				w.Calm = 180 * time.Second
+				w.FaultsEndAt = 180 * time.Second
 				w.Run(600 * time.Second)
 				w.verdict(t, 20)
 			}
@@ -180,10 +180,10 @@
 			w.checkCancelled()
 			w.SlowLinks(KindNode, KindMachine, lo, lo+0.8, 300*time.Second)
 			w.steady("urgent", 1, 3*time.Second, 10*time.Second, 260*time.Second, func(int) Job {
-				return Job{Shape: "sweep", Team: "red", Tasks: 8, CPUs: 4, RunS: 20, Spot: true, Urgency: "high", SnapshotS: 5, StowS: 2}
+				return Job{Kind: "sweep", Team: "red", Tasks: 8, CPUs: 4, RunS: 20, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 2}
 			})
 			w.steady("low", 2, 4*time.Second, 10*time.Second, 260*time.Second, func(i int) Job {
-				return Job{Shape: []string{"sweep", "ensemble"}[i%2], Team: "free", Tasks: 6, CPUs: 8, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, StowS: 3}
+				return Job{Kind: []string{"sweep", "ensemble"}[i%2], Team: "free", Tasks: 6, CPUs: 8, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 3}
 			})
 			w.OnSend = func(_ string, a actor.Call) {
 				if a.Path == "/orders" && strings.Contains(string(a.Body), `"start"`) {
@@ -193,7 +193,7 @@
 			for at := 30 * time.Second; at < 300*time.Second; at += time.Second {
 				w.At(at, func() { leaders[uint64(1000*seed)+w.leaderToken()] = true })
 			}
-			w.Calm = 320 * time.Second
+			w.FaultsEndAt = 320 * time.Second
 			w.Run(900 * time.Second)
 			w.verdict(t, 80)
 			for k, n := range w.Served() {
--- a/internal/sim/standstill_test.go
+++ b/internal/sim/standstill_test.go
@@ -16,12 +16,12 @@
 	for _, gap := range []time.Duration{2 * time.Second, 5 * time.Second, 18 * time.Second, 50 * time.Second} {
 		w := worldOf(Config{Seed: 11, Nodes: 3, CloudRPS: 1})
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 18, CPUs: 4, RunS: 120})
+			w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 18, CPUs: 4, RunS: 120})
 		})
 		// More is wanted than there is: the leader is renting all the time, and
 		// has machines that it will find idle.
 		w.At(28*time.Second, func() {
-			w.Submit(Job{ID: "j-2", Shape: "sweep", Team: "free", Image: "k", ImageGB: 0.1, Tasks: 60, CPUs: 4, RunS: 60})
+			w.Submit(Job{ID: "j-2", Kind: "sweep", Team: "free", Image: "k", ImageGB: 0.1, Tasks: 60, CPUs: 4, RunS: 60})
 		})
 		var old string
 		var woke time.Duration
@@ -52,7 +52,7 @@
 			if m.deleted && m.goneAt > 30*time.Second {
 				t.Errorf("%v: %s was returned", gap, m.Name)
 			}
-			if m.tenure > 1 {
+			if m.session > 1 {
 				t.Errorf("%v: the lease of %s ran out", gap, m.Name)
 			}
 		}
@@ -68,7 +68,7 @@
 	for _, hold := range []bool{false, true} {
 		w := world(12)
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 24, CPUs: 4, RunS: 17})
+			w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 24, CPUs: 4, RunS: 17})
 		})
 		old := ""
 		w.OnSend = func(from string, c actor.Call) {
@@ -97,7 +97,7 @@
 	for _, hang := range []bool{false, true} {
 		w := world(13)
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 4, RunS: 100})
+			w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 4, RunS: 100})
 		})
 		first := -1
 		w.At(30*time.Second, func() {
@@ -130,15 +130,15 @@
 func TestNewLeaderAsksWorkers(t *testing.T) {
 	w := world(14)
 	w.At(5*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6, CPUs: 9, RunS: 100})
+		w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6, CPUs: 9, RunS: 100})
 	})
 	w.At(30*time.Second, func() { w.Freeze(w.Leader(), 40*time.Second) })
 	led := time.Duration(0)
 	var look func()
 	look = func() {
-		if l := w.Leader(); l >= 0 && w.now > 30*time.Second && w.nodes[l].frozen < w.now {
+		if l := w.Leader(); l >= 0 && w.now > 30*time.Second && w.nodes[l].frozenUntil < w.now {
 			led = w.now
-			w.Submit(Job{ID: "j-2", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 3, RunS: 10})
+			w.Submit(Job{ID: "j-2", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 3, RunS: 10})
 			return
 		}
 		w.after(50*time.Millisecond, look)
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -8,38 +8,39 @@
 	"time"
 )
 
-// State is the stand-in of the state service.
+// State is the stand-in for the state service. Its stamps and epochs are revisions: a
+// key's stamp is that of its last change, the epoch the newest. Its permits are leases.
 type State struct {
 	w       *World
 	keys    map[string]*stateKey
 	epoch   uint64
 	history []stateEvent
-	oldest  uint64 // watches from before this get 410
-	grants  map[uint64]*stateGrant
+	oldest  uint64 // watches from an earlier revision get 410
+	leases  map[uint64]*stateLease
 	nextID  uint64
 	watches []*stateWatch
-	// Outage: every request gets 503; Refuse: one node's do.
-	outageUntil time.Duration
-	refuse      map[string]time.Duration
-	Slow        int // one request in so many takes long; 0: none
-	bucket      float64
-	writes      float64
-	last        time.Duration
-	slowUntil   time.Duration
-	// Limited counts requests over the rate, Asked all of them by host.
+	// Until outageUntil every request gets 503, until refusedUntil those of one host.
+	outageUntil   time.Duration
+	refusedUntil  map[string]time.Duration
+	SlowOneIn     int // one request in SlowOneIn takes 0.1 to 0.5 s longer; 0: none
+	requestTokens float64
+	writeTokens   float64
+	lastRequest   time.Duration
+	slowUntil     time.Duration
+	// Limited counts the requests over the rate limit.
 	Limited int
-	// Changed counts the changes made.
-	Changed int
-	Asked   map[string]int
-	// OnGrant sees every lease that is given out.
-	OnGrant func(host, id string)
-	keep    int
+	// Changes counts the committed changes, Requests the requests by host.
+	Changes  int
+	Requests map[string]int
+	// OnLease is called with every new lease.
+	OnLease     func(host, id string)
+	keepChanges int
 }
 
 type stateKey struct {
 	value json.RawMessage
 	stamp uint64
-	grant uint64
+	lease uint64
 }
 
 type stateEvent struct {
@@ -49,50 +50,50 @@
 	Stamp  uint64          `json:"stamp"`
 }
 
-type stateGrant struct {
+type stateLease struct {
 	ttl  time.Duration
 	ends time.Duration
 }
 
 type stateWatch struct {
-	from  uint64
-	under string
-	host  string
-	reply func(int, []byte)
-	done  bool
+	from   uint64
+	prefix string
+	host   string
+	reply  func(int, []byte)
+	done   bool
 }
 
 func newState(w *World) *State {
-	s := &State{w: w, keys: map[string]*stateKey{}, grants: map[uint64]*stateGrant{}, refuse: map[string]time.Duration{}, keep: w.cfg.KeepChanges,
-		bucket: w.cfg.RPS, writes: w.cfg.WriteRPS, Asked: map[string]int{}}
-	s.sweep()
+	s := &State{w: w, keys: map[string]*stateKey{}, leases: map[uint64]*stateLease{}, refusedUntil: map[string]time.Duration{}, keepChanges: w.cfg.KeepChanges,
+		requestTokens: w.cfg.RPS, writeTokens: w.cfg.WriteRPS, Requests: map[string]int{}}
+	s.expireLeases()
 	return s
 }
 
 func (s *State) hostName() string { return "state" }
 func (s *State) reachable() bool  { return true }
 
-// Outage makes the service refuse everybody; leases get their full time after.
+// Outage makes the service refuse all requests; at its end all leases start anew.
 func (s *State) Outage(d time.Duration) {
 	s.outageUntil = s.w.now + d
 	s.w.after(d, func() {
-		for _, g := range s.grants {
-			g.ends = s.w.now + g.ttl
+		for _, lease := range s.leases {
+			lease.ends = s.w.now + lease.ttl
 		}
-		s.notify()
+		s.notifyWatches()
 	})
 }
 
-// GetSlow makes every answer take some 15 times as long for a while.
-func (s *State) GetSlow(d time.Duration) { s.slowUntil = s.w.now + d }
+// SlowDown delays every answer by 30 to 120 ms, and one in 40 by 1 to 6 s, for a while.
+func (s *State) SlowDown(d time.Duration) { s.slowUntil = s.w.now + d }
 
-// RefuseNode makes the service refuse one node alone.
+// RefuseNode makes the service refuse the requests of one node.
 func (s *State) RefuseNode(host string, d time.Duration) {
-	s.refuse[host] = s.w.now + d
-	s.w.after(d, s.notify)
+	s.refusedUntil[host] = s.w.now + d
+	s.w.after(d, s.notifyWatches)
 }
 
-// Fill writes so many keys of one value, as if they had been there from the beginning.
+// Fill writes n keys with the same value. Watches from an earlier revision get 410.
 func (s *State) Fill(prefix string, n int, value string) {
 	for i := range n {
 		s.epoch++
@@ -101,28 +102,30 @@
 	s.oldest = s.epoch
 }
 
-func (s *State) sweep() {
-	s.w.after(50*time.Millisecond, s.sweep)
+// expireLeases ends the leases that have run out, with their keys, every 50 ms.
+func (s *State) expireLeases() {
+	s.w.after(50*time.Millisecond, s.expireLeases)
 	if s.w.now < s.outageUntil {
 		return
 	}
 	var ids []uint64
-	for id, g := range s.grants {
-		if s.w.now >= g.ends {
+	for id, lease := range s.leases {
+		if s.w.now >= lease.ends {
 			ids = append(ids, id)
 		}
 	}
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	for _, id := range ids {
-		s.end(id)
+		s.endLease(id)
 	}
 }
 
-func (s *State) end(id uint64) {
-	delete(s.grants, id)
+// endLease deletes a lease and its keys.
+func (s *State) endLease(id uint64) {
+	delete(s.leases, id)
 	var ks []string
 	for k, v := range s.keys {
-		if v.grant == id {
+		if v.lease == id {
 			ks = append(ks, k)
 		}
 	}
@@ -133,58 +136,60 @@
 		s.record(stateEvent{Delete: k, Stamp: s.epoch})
 	}
 	if len(ks) > 0 {
-		s.notify()
+		s.notifyWatches()
 	}
 }
 
 func (s *State) record(e stateEvent) {
 	s.history = append(s.history, e)
-	if len(s.history) > s.keep {
-		s.oldest = s.history[len(s.history)-s.keep-1].Stamp
-		s.history = s.history[len(s.history)-s.keep:]
+	if len(s.history) > s.keepChanges {
+		s.oldest = s.history[len(s.history)-s.keepChanges-1].Stamp
+		s.history = s.history[len(s.history)-s.keepChanges:]
 	}
 }
 
-func (s *State) notify() {
+func (s *State) notifyWatches() {
 	ws := s.watches
 	s.watches = nil
 	for _, x := range ws {
-		if !x.done && !s.answer(x) {
+		if !x.done && !s.answerWatch(x) {
 			s.watches = append(s.watches, x)
 		}
 	}
 }
 
-func (s *State) away(host string) bool {
-	return s.w.now < s.outageUntil || s.w.now < s.refuse[host]
+// refuses reports whether requests of the host get 503 now.
+func (s *State) refuses(host string) bool {
+	return s.w.now < s.outageUntil || s.w.now < s.refusedUntil[host]
 }
 
-func (s *State) answer(x *stateWatch) bool {
-	if s.away(x.host) {
+// answerWatch answers a watch if there are changes for it, and reports whether it did.
+func (s *State) answerWatch(x *stateWatch) bool {
+	if s.refuses(x.host) {
 		return false
 	}
-	var news []stateEvent
+	var changes []stateEvent
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].Stamp > x.from })
 	for _, e := range s.history[first:] {
-		if strings.HasPrefix(e.Write+e.Delete, x.under) {
-			news = append(news, e)
+		if strings.HasPrefix(e.Write+e.Delete, x.prefix) {
+			changes = append(changes, e)
 		}
 	}
-	if len(news) == 0 {
+	if len(changes) == 0 {
 		return false
 	}
-	s.finish(x, news)
+	s.finishWatch(x, changes)
 	return true
 }
 
-func (s *State) finish(x *stateWatch, news []stateEvent) {
-	if news == nil {
-		news = []stateEvent{}
+func (s *State) finishWatch(x *stateWatch, changes []stateEvent) {
+	if changes == nil {
+		changes = []stateEvent{}
 	}
-	// The order inside an answer isn't promised.
-	s.w.rng.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
+	// The protocol does not promise an order within an answer.
+	s.w.rng.Shuffle(len(changes), func(i, j int) { changes[i], changes[j] = changes[j], changes[i] })
 	x.done = true
-	x.reply(200, mustJSON(map[string]any{"epoch": s.epoch, "news": news}))
+	x.reply(200, mustJSON(map[string]any{"epoch": s.epoch, "news": changes}))
 }
 
 func mustJSON(v any) []byte {
@@ -195,22 +200,23 @@
 	return b
 }
 
+// allow reports whether the rate limits admit a request with that many changes.
 func (s *State) allow(writes int) bool {
-	dt := (s.w.now - s.last).Seconds()
-	s.last = s.w.now
-	s.bucket = min(s.w.cfg.RPS, s.bucket+dt*s.w.cfg.RPS)
-	s.writes = min(s.w.cfg.WriteRPS, s.writes+dt*s.w.cfg.WriteRPS)
-	if s.bucket < 1 || s.writes < float64(writes) {
+	dt := (s.w.now - s.lastRequest).Seconds()
+	s.lastRequest = s.w.now
+	s.requestTokens = min(s.w.cfg.RPS, s.requestTokens+dt*s.w.cfg.RPS)
+	s.writeTokens = min(s.w.cfg.WriteRPS, s.writeTokens+dt*s.w.cfg.WriteRPS)
+	if s.requestTokens < 1 || s.writeTokens < float64(writes) {
 		s.Limited++
 		return false
 	}
-	s.bucket--
-	s.writes -= float64(writes)
+	s.requestTokens--
+	s.writeTokens -= float64(writes)
 	return true
 }
 
 func (s *State) serve(from, method, path string, body []byte, reply func(int, []byte)) {
-	if s.away(from) {
+	if s.refuses(from) {
 		reply(503, []byte(`{"error":"away"}`))
 		return
 	}
@@ -238,21 +244,21 @@
 			return
 		}
 	}
-	s.Asked[from]++
+	s.Requests[from]++
 	if !s.allow(len(t.Apply)) {
 		reply(429, []byte(`{}`))
 		return
 	}
 	if s.w.now < s.slowUntil {
-		inner, d := reply, s.w.secs(0.03, 0.12)
+		inner, d := reply, s.w.randomSecs(0.03, 0.12)
 		if s.w.rng.IntN(40) == 0 {
-			d = s.w.secs(1, 6)
+			d = s.w.randomSecs(1, 6)
 		}
 		reply = func(st int, b []byte) { s.w.after(d, func() { inner(st, b) }) }
 	}
-	if s.Slow > 0 && s.w.rng.IntN(s.Slow) == 0 {
+	if s.SlowOneIn > 0 && s.w.rng.IntN(s.SlowOneIn) == 0 {
 		inner := reply
-		reply = func(st int, b []byte) { s.w.after(s.w.secs(0.1, 0.5), func() { inner(st, b) }) }
+		reply = func(st int, b []byte) { s.w.after(s.w.randomSecs(0.1, 0.5), func() { inner(st, b) }) }
 	}
 	switch {
 	case method == "GET" && strings.HasPrefix(p, "/keys/"):
@@ -262,7 +268,7 @@
 			reply(404, mustJSON(map[string]any{"epoch": s.epoch}))
 			return
 		}
-		reply(200, mustJSON(map[string]any{"path": key, "value": k.value, "stamp": k.stamp, "permit": k.grant}))
+		reply(200, mustJSON(map[string]any{"path": key, "value": k.value, "stamp": k.stamp, "permit": k.lease}))
 	case method == "GET" && p == "/keys":
 		var ks []string
 		for k := range s.keys {
@@ -281,17 +287,17 @@
 		reply(200, mustJSON(map[string]any{"items": items, "has_next": more, "epoch": s.epoch}))
 	case method == "POST" && p == "/commit":
 		if len(t.Apply) > s.w.cfg.TxnOps || len(t.When) > 4*s.w.cfg.TxnOps || len(body) > 64<<10 {
-			s.w.broke("limits", "a transaction of %d changes, %d conditions, %d bytes", len(t.Apply), len(t.When), len(body))
+			s.w.reportViolation("limits", "a transaction of %d changes, %d conditions, %d bytes", len(t.Apply), len(t.When), len(body))
 			reply(400, []byte(`{"error":"too large"}`))
 			return
 		}
 		for _, a := range t.Apply {
-			if a.Permit != 0 && s.grants[a.Permit] == nil {
+			if a.Permit != 0 && s.leases[a.Permit] == nil {
 				reply(400, []byte(`{"error":"no such lease"}`))
 				return
 			}
 			if len(a.Value) > 1024*s.w.cfg.ValueKB {
-				s.w.broke("limits", "a value of %d bytes", len(a.Value))
+				s.w.reportViolation("limits", "a value of %d bytes", len(a.Value))
 			}
 		}
 		failed := []string{}
@@ -310,7 +316,7 @@
 		}
 		if len(t.Apply) > 0 {
 			s.epoch++
-			s.Changed += len(t.Apply)
+			s.Changes += len(t.Apply)
 			for _, a := range t.Apply {
 				if a.Delete != "" {
 					if s.keys[a.Delete] != nil {
@@ -322,28 +328,28 @@
 				s.keys[a.Write] = &stateKey{append(json.RawMessage(nil), a.Value...), s.epoch, a.Permit}
 				s.record(stateEvent{Write: a.Write, Value: s.keys[a.Write].value, Stamp: s.epoch})
 			}
-			s.notify()
+			s.notifyWatches()
 		}
 		reply(200, mustJSON(map[string]any{"epoch": s.epoch}))
 	case method == "POST" && p == "/grants":
 		s.nextID++
 		ttl := time.Duration(t.TTL * float64(time.Millisecond))
-		s.grants[s.nextID] = &stateGrant{ttl, s.w.now + ttl}
-		if s.OnGrant != nil {
-			s.OnGrant(from, strconv.FormatUint(s.nextID, 10))
+		s.leases[s.nextID] = &stateLease{ttl, s.w.now + ttl}
+		if s.OnLease != nil {
+			s.OnLease(from, strconv.FormatUint(s.nextID, 10))
 		}
 		reply(200, mustJSON(map[string]any{"permit": s.nextID}))
 	case strings.HasPrefix(p, "/grants/"):
 		id, _ := strconv.ParseUint(strings.TrimSuffix(p[len("/grants/"):], "/renew"), 10, 64)
-		g := s.grants[id]
+		lease := s.leases[id]
 		switch {
-		case g == nil:
+		case lease == nil:
 			reply(404, []byte(`{}`))
 		case method == "DELETE":
-			s.end(id)
+			s.endLease(id)
 			reply(200, []byte(`{}`))
 		default:
-			g.ends = s.w.now + g.ttl
+			lease.ends = s.w.now + lease.ttl
 			reply(200, mustJSON(map[string]any{"permit": id}))
 		}
 	case p == "/changes":
@@ -353,14 +359,14 @@
 			return
 		}
 		ms, _ := strconv.Atoi(q["block_ms"])
-		x := &stateWatch{from: since, under: q["under"], host: from, reply: reply}
-		if s.answer(x) {
+		x := &stateWatch{from: since, prefix: q["under"], host: from, reply: reply}
+		if s.answerWatch(x) {
 			return
 		}
 		s.watches = append(s.watches, x)
 		s.w.after(time.Duration(ms)*time.Millisecond, func() {
-			if !x.done && !s.away(x.host) {
-				s.finish(x, nil)
+			if !x.done && !s.refuses(x.host) {
+				s.finishWatch(x, nil)
 			}
 		})
 	default:
@@ -368,19 +374,19 @@
 	}
 }
 
-// Wipe loses everything, as if the service began anew: its revisions count from 1.
+// Wipe deletes all data of the service, whose revisions start from 1 again.
 func (s *State) Wipe() {
-	s.keys, s.grants, s.history, s.epoch, s.oldest = map[string]*stateKey{}, map[uint64]*stateGrant{}, nil, 0, 0
+	s.keys, s.leases, s.history, s.epoch, s.oldest = map[string]*stateKey{}, map[uint64]*stateLease{}, nil, 0, 0
 	for _, x := range s.watches {
 		x.done = true
 	}
 	s.watches = nil
 }
 
-// Ask waits for an answer, for what works beside the controllers.
+// Ask sends a request of an operator's tool and waits for the answer. It runs the world meanwhile.
 func (s *State) Ask(method, path string, body []byte) (status int, answer []byte, err error) {
 	limited := s.Limited
-	s.bucket, s.writes = s.w.cfg.RPS, s.w.cfg.WriteRPS // it keeps to a rate of its own
+	s.requestTokens, s.writeTokens = s.w.cfg.RPS, s.w.cfg.WriteRPS // the operator's tool limits its own rate
 	s.serve("operator", method, path, body, func(st int, b []byte) { status, answer = st, b })
 	s.Limited = limited
 	for end := s.w.now + 10*time.Second; status == 0 && s.w.now < end; {
@@ -389,7 +395,7 @@
 	return status, answer, nil
 }
 
-// LeaderName is the label of the controller that holds the leader's key, "" if none does.
+// LeaderName is the label of the controller that holds the leader key, "" if none does.
 func (s *State) LeaderName() string {
 	k := s.keys["b/leader"]
 	if k == nil {
--- a/internal/sim/units.go
+++ b/internal/sim/units.go
@@ -7,22 +7,22 @@
 	"brooklb/internal/actor"
 )
 
-// unitsSet is a count that an operator set, and since when.
-type unitsSet struct {
+// unitCount is a count that an operator set, and when.
+type unitCount struct {
 	at    time.Duration
 	count int
 }
 
-// SetUnits has an operator set a resource until that is answered.
+// SetUnits makes an operator send the settings of a resource until that is answered.
 func (w *World) SetUnits(name string, body map[string]any, done func(status int, answer []byte)) {
 	if n, ok := body["count"].(int); ok {
-		// A start that was decided before may come later: see checkUnits.
-		w.units[name] = append(w.units[name], unitsSet{w.now, n})
+		// A start that was decided before the change may be executed after it: see checkUnits.
+		w.units[name] = append(w.units[name], unitCount{w.now, n})
 	}
 	b := mustJSON(body)
 	var ask func(n int)
 	ask = func(n int) {
-		w.ask("POST", "/units/"+name, b, 5*time.Second, func(a actor.Answer) {
+		w.request("POST", "/units/"+name, b, 5*time.Second, func(a actor.Answer) {
 			switch {
 			case a.Err == nil && a.Status < 500 && a.Status != 429:
 				if done != nil {
@@ -36,7 +36,7 @@
 	ask(0)
 }
 
-// UnitsInUse counts the units that tasks on machines hold, in truth.
+// UnitsInUse counts the units that tasks on machines hold.
 func (w *World) UnitsInUse(name string) (n int) {
 	for _, m := range w.Cloud.machines {
 		for _, r := range m.tasks {
@@ -48,11 +48,11 @@
 	return n
 }
 
-// unitsGrace is how long a count that was lowered may still be used up: by starts
-// decided before the leader heard of it.
+// unitsGrace is how long starts may still use the old count after it was lowered, since
+// they were decided before the leader received the change.
 const unitsGrace = 15 * time.Second
 
-// checkUnits holds when a task is started: never more units in use than there are.
+// checkUnits checks, when a task is started, that no more units are in use than exist.
 func (w *World) checkUnits(r *runner) {
 	for name := range r.job.units {
 		most := 0
@@ -62,20 +62,22 @@
 			}
 		}
 		if n := w.UnitsInUse(name); n > most {
-			w.broke("units", "%s starts, and %d units of %s are in use, of which there are %d", r.key, n, name, most)
+			w.reportViolation("units", "%s starts, and %d units of %s are in use, but only %d exist", r.key, n, name, most)
 		}
 	}
 }
 
-// ProbeAddr is where the stand-in of a licence server tells what is taken outside.
+// ProbeAddr is the address of the stand-in for a licence server, which reports the use of
+// units outside the cluster.
 const ProbeAddr = "10.2.0.9:7000"
 
-type probed struct{ w *World }
+// probe is the stand-in for the licence server.
+type probe struct{ w *World }
 
-func (p probed) hostName() string { return "probe" }
-func (p probed) reachable() bool  { return true }
-func (p probed) serve(_, _, _ string, _ []byte, reply func(int, []byte)) {
-	if p.w.Taken >= 0 {
-		reply(200, fmt.Appendf(nil, `{"used":%d}`, p.w.Taken))
+func (p probe) hostName() string { return "probe" }
+func (p probe) reachable() bool  { return true }
+func (p probe) serve(_, _, _ string, _ []byte, reply func(int, []byte)) {
+	if p.w.ExternalUse >= 0 {
+		reply(200, fmt.Appendf(nil, `{"used":%d}`, p.w.ExternalUse))
 	}
 }
