--- a/internal/sim/units_test.go
+++ b/internal/sim/units_test.go
@@ -43,46 +43,46 @@
 	idle, busy, waits := 0.0, 0.0, 0
 	for _, seed := range seeds(t, 6) {
 		w := worldOf(Config{Seed: 3000 + seed, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 5}}})
-		w.units["seat"] = []unitsSet{{0, 5}}
+		w.units["seat"] = []unitCount{{0, 5}}
 		w.checkCancelled()
 		for i := range 200 {
-			w.At(w.secs(3, 30), func() {
-				j := Job{ID: fmt.Sprintf("j-%03d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 2 + 8*w.rng.Float64(),
+			w.At(w.randomSecs(3, 30), func() {
+				j := Job{ID: fmt.Sprintf("j-%03d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 2 + 8*w.rng.Float64(),
 					Urgency: []string{"high", "standard", "idle"}[w.rng.IntN(3)], Units: map[string]int{"seat": 1}, Spot: true}
 				if w.rng.IntN(4) == 0 {
-					j.CancelAfter = w.secs(0.1, 200)
+					j.CancelAfter = w.randomSecs(0.1, 200)
 				}
 				w.Submit(j)
 			})
 		}
-		for at := 20 * time.Second; at < 400*time.Second && seed%2 == 1; at += w.secs(20, 50) {
+		for at := 20 * time.Second; at < 400*time.Second && seed%2 == 1; at += w.randomSecs(20, 50) {
 			w.At(at, func() {
 				switch w.rng.IntN(8) {
 				case 6: // orders that arrive late
 					for _, m := range w.Machines() {
 						if w.rng.IntN(2) == 0 {
-							w.Cut(w.NodeName(max(0, w.Leader())), m.Name, w.secs(5, 60), true)
+							w.Cut(w.NodeName(max(0, w.Leader())), m.Name, w.randomSecs(5, 60), true)
 						}
 					}
 				case 7:
-					w.Freeze(max(0, w.Leader()), w.secs(2, 8))
+					w.Freeze(max(0, w.Leader()), w.randomSecs(2, 8))
 				case 0:
-					w.Crash(max(0, w.Leader()), w.secs(1, 4))
+					w.Crash(max(0, w.Leader()), w.randomSecs(1, 4))
 				case 1:
 					for i := range w.nodes {
-						w.Crash(i, w.secs(1, 4))
+						w.Crash(i, w.randomSecs(1, 4))
 					}
 				case 2:
-					w.State.Outage(w.secs(1, 10))
+					w.State.Outage(w.randomSecs(1, 10))
 				case 3, 4:
 					for _, m := range w.Machines() {
 						if m.Tasks() > 0 && w.rng.IntN(2) == 0 {
-							m.Hang(w.secs(5, 40)) // lost, and back
+							m.Hang(w.randomSecs(5, 40)) // lost, and back
 						}
 					}
 				case 5:
 					if ms := w.Machines(); len(ms) > 0 {
-						ms[w.rng.IntN(len(ms))].Die()
+						ms[w.rng.IntN(len(ms))].Fail()
 					}
 				}
 			})
@@ -123,15 +123,15 @@
 // that keep coming, and the units from standing idle for it for long.
 func TestLargeRequest(t *testing.T) {
 	w := worldOf(Config{Seed: 97, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 6}}})
-	w.units["seat"] = []unitsSet{{0, 6}}
+	w.units["seat"] = []unitCount{{0, 6}}
 	for i := range 150 {
 		w.At(time.Duration(3000+1500*i)*time.Millisecond, func() {
-			w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 4 + 12*w.rng.Float64(), Units: map[string]int{"seat": 1}})
+			w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 4 + 12*w.rng.Float64(), Units: map[string]int{"seat": 1}})
 		})
 	}
 	begun, asked := time.Duration(0), 60*time.Second
 	w.At(asked, func() {
-		w.Submit(Job{ID: "j-900", Shape: "ensemble", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 1, RunS: 20, Units: map[string]int{"seat": 1}})
+		w.Submit(Job{ID: "j-900", Kind: "ensemble", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 1, RunS: 20, Units: map[string]int{"seat": 1}})
 	})
 	free := 0.0
 	for w.now < 600*time.Second {
@@ -172,7 +172,7 @@
 	}
 	w.At(2*time.Second, func() { set(map[string]any{"count": 6, "by": "ana"}) })
 	w.At(5*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 1, RunS: 60, Units: map[string]int{"seat": 1}, SnapshotS: 5, StowS: 1})
+		w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 1, RunS: 60, Units: map[string]int{"seat": 1}, SnapshotS: 5, SaveS: 1})
 	})
 	expect := func(n int, what string) {
 		t.Helper()
@@ -194,7 +194,7 @@
 	set(map[string]any{"count": 1, "shed": true})
 	w.Run(w.now + 8*time.Second)
 	expect(1, "shed")
-	w.ask("POST", "/units/seat/remove", nil, 5*time.Second, func(actor.Answer) {})
+	w.request("POST", "/units/seat/remove", nil, 5*time.Second, func(actor.Answer) {})
 	w.Run(w.now + 100*time.Second)
 	expect(0, "removed")
 	why := ""
@@ -222,7 +222,7 @@
 	post := func(path, body string, want int, why string) {
 		t.Helper()
 		answered := false
-		w.ask("POST", path, []byte(body), 5*time.Second, func(a actor.Answer) {
+		w.request("POST", path, []byte(body), 5*time.Second, func(a actor.Answer) {
 			answered = true
 			if a.Status != want || !strings.Contains(string(a.Body), why) {
 				t.Errorf("%s %s got %d %s, want %d with %q", path, body, a.Status, a.Body, want, why)
@@ -260,11 +260,11 @@
 func TestProbe(t *testing.T) {
 	w := worldOf(Config{Seed: 100, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 5,
 		Probe: &units.Probe{Addr: ProbeAddr, Path: "/used", Every: 2 * time.Second, Keep: 30 * time.Second, Cautious: -1}}}})
-	w.units["seat"] = []unitsSet{{0, 5}}
-	w.Taken = 3
+	w.units["seat"] = []unitCount{{0, 5}}
+	w.ExternalUse = 3
 	w.At(10*time.Second, func() {
 		for i := range 400 {
-			w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 3, Units: map[string]int{"seat": 1}})
+			w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 3, Units: map[string]int{"seat": 1}})
 		}
 	})
 	most := func(until time.Duration) (n int) {
@@ -278,12 +278,12 @@
 	if n := most(60 * time.Second); n != 2 {
 		t.Errorf("with 3 of 5 taken outside %d were in use", n)
 	}
-	w.Taken = 1
+	w.ExternalUse = 1
 	w.Run(75 * time.Second)
 	if n := most(90 * time.Second); n != 4 {
 		t.Errorf("with 1 of 5 taken outside %d were in use", n)
 	}
-	w.Taken = -1
+	w.ExternalUse = -1
 	w.Crash(w.Leader(), 2*time.Second) // the next one knows what was written
 	w.Run(95 * time.Second)
 	if n := most(110 * time.Second); n != 4 {
@@ -293,7 +293,7 @@
 	if n := most(170 * time.Second); n != 0 {
 		t.Errorf("silent for over 30 s: %d in use", n)
 	}
-	w.Taken = 0
+	w.ExternalUse = 0
 	w.Run(185 * time.Second)
 	if n := most(200 * time.Second); n != 5 {
 		t.Errorf("with none taken outside %d were in use", n)
@@ -309,11 +309,11 @@
 		w.SetUnits("seat", map[string]any{"count": 6, "reserve": map[string]int{"high": 1}, "teams": map[string]any{"red": map[string]int{"most": 2}}}, nil)
 	})
 	job := func(id, team, urgency string, tasks int) {
-		w.Submit(Job{ID: id, Shape: "sweep", Team: team, Urgency: urgency, Image: "i", ImageGB: 0.1, Tasks: tasks, CPUs: 1, RunS: 400, SnapshotS: 5, StowS: 1, Units: map[string]int{"seat": 1}})
+		w.Submit(Job{ID: id, Kind: "sweep", Team: team, Urgency: urgency, Image: "i", ImageGB: 0.1, Tasks: tasks, CPUs: 1, RunS: 400, SnapshotS: 5, SaveS: 1, Units: map[string]int{"seat": 1}})
 	}
 	use := func(id string) (n int) {
 		for _, m := range w.Machines() {
-			for _, r := range m.sorted() {
+			for _, r := range m.sortedTasks() {
 				if r.job.id == id && r.phase != "ended" {
 					n++
 				}
@@ -337,7 +337,7 @@
 		t.Errorf("the unit kept for high priority was not given")
 	}
 	// A gang of a prompt class needs three units that lesser work holds.
-	w.Submit(Job{ID: "j-4", Shape: "ensemble", Team: "free", Urgency: "critical", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 1, RunS: 30, Units: map[string]int{"seat": 1}})
+	w.Submit(Job{ID: "j-4", Kind: "ensemble", Team: "free", Urgency: "critical", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 1, RunS: 30, Units: map[string]int{"seat": 1}})
 	w.Run(65 * time.Second)
 	if n := use("j-4"); n != 3 {
 		t.Errorf("%d of 3 tasks of the urgent gang run, %d of the lesser", n, use("j-2"))
@@ -351,11 +351,11 @@
 func TestUnitsCrash(t *testing.T) {
 	for _, late := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond} {
 		w := worldOf(Config{Seed: 102, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 4}}})
-		w.units["seat"] = []unitsSet{{0, 4}}
+		w.units["seat"] = []unitCount{{0, 4}}
 		w.checkCancelled()
 		for i := range 40 {
 			w.At(time.Duration(4000+700*i)*time.Millisecond, func() {
-				w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Shape: []string{"sweep", "ensemble"}[i%2], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%3, CPUs: 1, RunS: 6,
+				w.Submit(Job{ID: fmt.Sprintf("j-%03d", i), Kind: []string{"sweep", "ensemble"}[i%2], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%3, CPUs: 1, RunS: 6,
 					Units: map[string]int{"seat": 1}})
 			})
 		}
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -12,59 +12,60 @@
 	"brooklb/internal/actor"
 )
 
-// userJob is a job as its user and the truth know it.
+// userJob is a job as its user and the stand-ins see it.
 type userJob struct {
-	id, shape, team, image, yard string
-	urgency, class               string
-	gaveUp                       bool
-	tasks                        int
-	cpus, gpus, imageGB          float64
-	samePlace, apart, spot, bad  bool
-	runS, snapshotS, stowS       float64
-	runSpread                    float64
-	asked, accepted              bool
-	cancelAsked                  bool
-	cancelledAt                  time.Duration
-	toldDone                     bool
-	results                      map[int]bool
-	attempts                     map[*runner]struct{} // that machines know
-	saved                        map[int]time.Duration
-	acceptedAt, doneTold         time.Duration
-	Submitted                    time.Duration
-	// StartedAt is when the first task ran.
-	polls int
-	units map[string]int // of counted resources, for each task
-	// A version of a service: which one's, and where its instances are asked.
+	id, kind, team, image, zone    string
+	urgency, class                 string
+	submitTimedOut                 bool
+	tasks                          int
+	cpus, gpus, imageGB            float64
+	samePlace, apart, spot, faulty bool
+	runS, snapshotS, saveS         float64
+	runSpread                      float64
+	requested, accepted            bool
+	cancelAsked                    bool
+	cancelledAt                    time.Duration
+	reportedDone                   bool
+	results                        map[int]bool
+	attempts                       map[*runner]struct{} // that machines know
+	saved                          map[int]time.Duration
+	acceptedAt, reportedDoneAt     time.Duration
+	Submitted                      time.Duration
+	polls                          int
+	units                          map[string]int // of counted resources, for each task
+	// service is the name of the service if the job is a version of one, port is where its
+	// instances are checked.
 	service string
 	port    int
 	perTask bool
-	// firstBad is when an instance of it first answered a check badly.
-	firstBad time.Duration
-	// starts counts the starts of its tasks.
-	starts int
-	// The node its user is connected to; since when no question about it was answered.
-	front                int
-	connected, forgotten bool
-	silentSince          time.Duration
-	body                 []byte // as it was submitted
-	// Since when there has been room for what waits of it, without a break; 0: there is none.
-	roomSince time.Duration
-	waited    bool
+	// firstUnhealthy is when an instance of it first failed a check.
+	firstUnhealthy time.Duration
+	starts         int
+	// nodeIndex is the node that its user is connected to, if connected. unansweredSince
+	// is when the first poll since the last answered one failed; 0: the last was answered.
+	nodeIndex                  int
+	connected, silenceReported bool
+	unansweredSince            time.Duration
+	submission                 []byte // as it was submitted
+	// startableSince is since when there has been room without interruption for its tasks
+	// that wait; 0: there is no room.
+	startableSince time.Duration
+	waitReported   bool
 }
 
-// Mend has a job that was submitted with a mistake run from now on.
-func (w *World) Mend(id string) { w.jobs[id].bad = false }
+// FixJob makes the tasks of a faulty job succeed from now on.
+func (w *World) FixJob(id string) { w.jobs[id].faulty = false }
 
-// Starts is how often tasks of the job were started.
+// Starts is the number of starts of the job's tasks.
 func (w *World) Starts(id string) int { return w.jobs[id].starts }
 
-// left is what remains to be run, never nothing.
-func (j *userJob) left(task int) time.Duration {
-	return max(100*time.Millisecond, time.Duration(j.runS*j.spread(task)*float64(time.Second))-j.saved[task])
+// remaining is the run time that a task still needs, at least 100 ms.
+func (j *userJob) remaining(task int) time.Duration {
+	return max(100*time.Millisecond, time.Duration(j.runS*j.runFactor(task)*float64(time.Second))-j.saved[task])
 }
 
-// spread is by how much longer than the job's usual one a task runs.
-func (j *userJob) spread(task int) float64 {
+// runFactor is the ratio of a task's run time to the job's usual one.
+func (j *userJob) runFactor(task int) float64 {
 	if j.runSpread == 0 {
 		return 1
 	}
@@ -72,56 +73,60 @@
 	return 1 + j.runSpread*(2*r.Float64()-1)
 }
 
-func (j *userJob) save(task int, ran time.Duration) { j.saved[task] += ran }
+func (j *userJob) saveProgress(task int, ran time.Duration) { j.saved[task] += ran }
 
-// Job describes a job to submit.
+// Job describes a job to submit. Kind and Urgency have the values of the protocol: a sweep
+// is an array, an ensemble a gang and standing a service; the urgencies are critical, high,
+// standard and idle.
 type Job struct {
-	ID, Shape, Team, Image, Yard string
-	Urgency, Class               string // class "": by shape
-	Tasks                        int
-	CPUs, GPUs, ImageGB          float64
-	SamePlace, Apart, Spot, Bad  bool
-	RunS, SnapshotS, StowS       float64
-	// RunSpread is the part of RunS by which tasks of an array run for longer or less.
+	ID, Kind, Team, Image, Zone    string
+	Urgency, Class                 string // Class "": derived from Kind
+	Tasks                          int
+	CPUs, GPUs, ImageGB            float64
+	SamePlace, Apart, Spot, Faulty bool
+	RunS, SnapshotS, SaveS         float64
+	// RunSpread is the fraction of RunS by which the run times of tasks vary at most.
 	RunSpread     float64
-	ExpectS, DueS float64 // the owner's estimate, 0: the truth; the deadline, 0: none
+	ExpectS, DueS float64 // the owner's estimate, 0: RunS; the deadline, 0: none
 	CancelAfter   time.Duration
 	Units         map[string]int // of counted resources, for each task
 }
 
-func (w *World) pick() *simNode {
-	if w.Front != nil {
-		if i := w.Front(); i >= 0 && w.nodes[i].up {
+// pickNode is the node that a request of a user goes to.
+func (w *World) pickNode() *simNode {
+	if w.UserNode != nil {
+		if i := w.UserNode(); i >= 0 && w.nodes[i].up {
 			return w.nodes[i]
 		}
 	}
 	for i := 0; i < 5; i++ {
 		s := w.nodes[w.rng.IntN(len(w.nodes))]
-		if s.up && (w.now >= s.frozen || w.now-s.alive < 2500*time.Millisecond) {
+		if s.up && (w.now >= s.frozenUntil || w.now-s.lastRan < 2500*time.Millisecond) {
 			return s // the load balancer takes some time to notice a pause
 		}
 	}
 	return w.nodes[0]
 }
 
-func (w *World) ask(method, path string, body []byte, timeout time.Duration, done func(a actor.Answer)) {
-	w.askFor(nil, method, path, body, timeout, done)
+// request sends a request of a user.
+func (w *World) request(method, path string, body []byte, timeout time.Duration, done func(a actor.Answer)) {
+	w.requestFor(nil, method, path, body, timeout, done)
 }
 
-// askFor has the job's user ask.
-func (w *World) askFor(j *userJob, method, path string, body []byte, timeout time.Duration, done func(a actor.Answer)) {
-	s := w.pick()
-	if w.balance != nil && j != nil {
-		s = w.front(j)
+// requestFor sends a request of the job's user, through the load balancer if there is one.
+func (w *World) requestFor(j *userJob, method, path string, body []byte, timeout time.Duration, done func(a actor.Answer)) {
+	s := w.pickNode()
+	if w.backends != nil && j != nil {
+		s = w.connectedNode(j)
 	}
 	w.send("users", actor.Call{Addr: s.addr, Method: method, Path: path, Body: body, Timeout: timeout, Done: done})
 }
 
-// Submit has a user submit a job now, poll it and perhaps cancel it.
+// Submit makes a user submit a job now, poll it and, with CancelAfter, cancel it.
 func (w *World) Submit(d Job) {
 	j, desc := w.describe(d)
 	body := mustJSON(desc)
-	j.body = body
+	j.submission = body
 	if d.CancelAfter > 0 {
 		w.after(d.CancelAfter, func() { w.cancel(j) })
 	}
@@ -129,9 +134,9 @@
 }
 
 func (w *World) submit(j *userJob, body []byte, n int) {
-	asked := w.now
-	w.askFor(j, "POST", "/v2/runs", body, 5*time.Second, func(a actor.Answer) {
-		w.record(j, OpSubmit, asked, a)
+	sentAt := w.now
+	w.requestFor(j, "POST", "/v2/runs", body, 5*time.Second, func(a actor.Answer) {
+		w.recordOp(j, OpSubmit, sentAt, a)
 		switch {
 		case a.Err == nil && (a.Status == 201 || a.Status == 200):
 			if !j.accepted {
@@ -139,26 +144,26 @@
 				if w.OnAccepted != nil {
 					w.OnAccepted(w.now - j.Submitted)
 				}
-				w.after(w.secs(1, 5), func() { w.poll(j) })
+				w.after(w.randomSecs(1, 5), func() { w.poll(j) })
 			}
-			w.answer(j, a.Body, asked)
-			if w.rng.IntN(10) == 0 && n < 50 { // a retry, perhaps long after
-				w.after(w.secs(1, 200), func() { w.submit(j, body, 100) })
+			w.checkAnswer(j, a.Body, sentAt)
+			if w.rng.IntN(10) == 0 && n < 50 { // a repeated submission, up to 200 s later
+				w.after(w.randomSecs(1, 200), func() { w.submit(j, body, 100) })
 			}
 		case a.Err == nil && (a.Status == 400 || a.Status == 422):
 			if j.accepted {
-				w.broke("forgotten", "a repeated submission of %s got %d", j.id, a.Status)
+				w.reportViolation("forgotten", "a repeated submission of %s got %d", j.id, a.Status)
 			} else {
-				w.broke("refused", "%s got %d %s", j.id, a.Status, a.Body)
+				w.reportViolation("refused", "%s got %d %s", j.id, a.Status, a.Body)
 			}
 		default:
 			wait := time.Second
 			if a.Err == nil && a.Status == 429 {
-				wait = max(wait, comeBack(a.Body))
-				w.Turned++
+				wait = max(wait, retryAfter(a.Body))
+				w.RetryLater++
 			}
-			if w.Patience > 0 && w.now+wait-j.Submitted > w.Patience {
-				j.gaveUp = true
+			if w.SubmitTimeout > 0 && w.now+wait-j.Submitted > w.SubmitTimeout {
+				j.submitTimedOut = true
 				return
 			}
 			w.after(wait, func() { w.submit(j, body, n+1) })
@@ -166,8 +171,9 @@
 	})
 }
 
-// comeBack is when a refusal says to come back; it says the same as Retry-After.
-func comeBack(body []byte) time.Duration {
+// retryAfter is the delay after which a refusal's text asks for a retry; the Retry-After
+// header has the same value.
+func retryAfter(body []byte) time.Duration {
 	_, rest, _ := strings.Cut(string(body), "come back in ")
 	s, _, _ := strings.Cut(rest, " s")
 	n, err := strconv.Atoi(s)
@@ -191,7 +197,7 @@
 		if j.accepted {
 			c[1]++
 		}
-		if j.toldDone {
+		if j.reportedDone {
 			c[2]++
 		}
 		out[k] = c
@@ -199,12 +205,12 @@
 	return out
 }
 
-// SlowestAccepted is the longest time from first asking to acceptance of a class's
-// jobs that were first submitted in the span.
+// SlowestAccepted is the longest time from the first submission to the acceptance of a
+// class's jobs that were first submitted between from and to.
 func (w *World) SlowestAccepted(class string, from, to time.Duration) time.Duration {
 	worst := time.Duration(0)
 	for _, j := range w.jobs {
-		if j.class == class && j.Submitted >= from && j.Submitted < to && !j.gaveUp {
+		if j.class == class && j.Submitted >= from && j.Submitted < to && !j.submitTimedOut {
 			end := w.now
 			if j.accepted {
 				end = j.acceptedAt
@@ -215,105 +221,106 @@
 	return worst
 }
 
-// answer checks what a user is told. A question that was already on its way
-// when something newer was told may bring the older answer.
-func (w *World) answer(j *userJob, body []byte, asked time.Duration) {
+// checkAnswer checks an answer to a user, whose request was sent at sentAt. The answer to
+// a request that was sent before a newer answer arrived may be the older one.
+func (w *World) checkAnswer(j *userJob, body []byte, sentAt time.Duration) {
 	var r struct{ Ref, Phase string }
 	if err := json.Unmarshal(body, &r); err != nil || r.Ref != j.id {
-		w.broke("limits", "answer %s about %s", body, j.id)
+		w.reportViolation("limits", "answer %s about %s", body, j.id)
 		return
 	}
-	if j.cancelledAt > 0 && asked > j.cancelledAt && r.Phase != "withdrawn" {
-		w.broke("went_back", "%s was cancelled and is called %s", j.id, r.Phase)
+	if j.cancelledAt > 0 && sentAt > j.cancelledAt && r.Phase != "withdrawn" {
+		w.reportViolation("went_back", "%s was cancelled and is reported as %s", j.id, r.Phase)
 	}
-	if j.toldDone && asked > j.doneTold && r.Phase != "done" {
-		w.broke("went_back", "%s was done and is called %s", j.id, r.Phase)
+	if j.reportedDone && sentAt > j.reportedDoneAt && r.Phase != "done" {
+		w.reportViolation("went_back", "%s was done and is reported as %s", j.id, r.Phase)
 	}
 	switch r.Phase {
 	case "withdrawn":
 		if !j.cancelAsked {
-			w.broke("went_back", "%s is called cancelled, which nobody asked for", j.id)
+			w.reportViolation("went_back", "%s is reported as cancelled, which no user requested", j.id)
 		}
 		if j.cancelledAt == 0 {
 			j.cancelledAt = w.now
 		}
 	case "done":
-		if len(j.results) < j.tasks || j.shape == "standing" {
-			w.broke("not_done", "%s is called done with %d of %d tasks", j.id, len(j.results), j.tasks)
+		if len(j.results) < j.tasks || j.kind == "standing" {
+			w.reportViolation("not_done", "%s is reported as done with %d of %d tasks", j.id, len(j.results), j.tasks)
 		}
-		if !j.toldDone {
-			j.toldDone, j.doneTold = true, w.now
+		if !j.reportedDone {
+			j.reportedDone, j.reportedDoneAt = true, w.now
 			w.Done++
 		}
 	case "pending", "running":
 	default:
-		w.broke("limits", "phase %q", r.Phase)
+		w.reportViolation("limits", "phase %q", r.Phase)
 	}
 }
 
 func (w *World) poll(j *userJob) {
 	j.polls++
 	w.Polls++
-	asked := w.now
-	w.askFor(j, "GET", "/v2/runs/"+j.id, nil, 2*time.Second, func(a actor.Answer) {
-		w.record(j, OpPoll, asked, a)
+	sentAt := w.now
+	w.requestFor(j, "GET", "/v2/runs/"+j.id, nil, 2*time.Second, func(a actor.Answer) {
+		w.recordOp(j, OpPoll, sentAt, a)
 		switch {
 		case a.Err == nil && a.Status == 200:
-			j.silentSince = 0
-			w.Good++
-			w.answer(j, a.Body, asked)
+			j.unansweredSince = 0
+			w.AnsweredPolls++
+			w.checkAnswer(j, a.Body, sentAt)
 		case a.Err == nil && a.Status == 404:
-			w.broke("forgotten", "%s got 404", j.id)
+			w.reportViolation("forgotten", "%s got 404", j.id)
 		case a.Err == nil && a.Status == 503:
-			w.Refused++
-			w.unanswered(j)
+			w.RefusedPolls++
+			w.recordUnanswered(j)
 		default:
-			w.unanswered(j)
+			w.recordUnanswered(j)
 		}
-		next := w.secs(4, 6)
-		if (j.toldDone || j.cancelledAt > 0) && j.silentSince == 0 {
-			next = w.secs(30, 90) // they may ask again at any time
+		next := w.randomSecs(4, 6)
+		if (j.reportedDone || j.cancelledAt > 0) && j.unansweredSince == 0 {
+			next = w.randomSecs(30, 90) // users may also ask about jobs that are over
 		}
 		w.after(next, func() { w.poll(j) })
 	})
 }
 
+// cancel makes the user cancel the job until that is answered, once it was accepted.
 func (w *World) cancel(j *userJob) {
 	if !j.accepted {
 		w.after(time.Second, func() { w.cancel(j) })
 		return
 	}
 	j.cancelAsked = true
-	asked := w.now
-	w.askFor(j, "POST", "/v2/runs/"+j.id+"/withdraw", nil, 5*time.Second, func(a actor.Answer) {
-		w.record(j, OpCancel, asked, a)
+	sentAt := w.now
+	w.requestFor(j, "POST", "/v2/runs/"+j.id+"/withdraw", nil, 5*time.Second, func(a actor.Answer) {
+		w.recordOp(j, OpCancel, sentAt, a)
 		if a.Err == nil && a.Status == 200 {
-			w.answer(j, a.Body, asked)
+			w.checkAnswer(j, a.Body, sentAt)
 			return
 		}
 		if a.Err == nil && a.Status == 404 {
-			w.broke("forgotten", "cancelling %s got 404", j.id)
+			w.reportViolation("forgotten", "cancelling %s got 404", j.id)
 			return
 		}
 		w.after(time.Second, func() { w.cancel(j) })
 	})
 }
 
-// PollUnknown asks for a job that nobody submitted.
+// PollUnknown polls a job that no user submitted.
 func (w *World) PollUnknown() {
-	w.ask("GET", "/v2/runs/j-99999999", nil, 2*time.Second, func(a actor.Answer) {
+	w.request("GET", "/v2/runs/j-99999999", nil, 2*time.Second, func(a actor.Answer) {
 		if a.Err == nil && a.Status == 200 {
-			w.broke("invented", "%s", a.Body)
+			w.reportViolation("invented", "%s", a.Body)
 		}
 	})
 }
 
-// Workload submits random jobs over a span.
+// Workload submits n random jobs, spread over a time span.
 func (w *World) Workload(n int, over time.Duration) {
 	w.checkCancelled()
 	for i := 0; i < n; i++ {
 		id := fmt.Sprintf("j-%06d", w.rng.IntN(900000)+i*1000000)
-		w.after(w.secs(0, over.Seconds()), func() {
+		w.after(w.randomSecs(0, over.Seconds()), func() {
 			if w.rng.IntN(5) == 0 {
 				w.PollUnknown()
 			}
@@ -324,50 +331,50 @@
 
 func (w *World) randomJob(id string) Job {
 	r := w.rng
-	j := Job{ID: id, Shape: "sweep", Team: w.cfg.Teams[r.IntN(len(w.cfg.Teams))].Name, Image: fmt.Sprintf("img-%d", r.IntN(5)),
+	j := Job{ID: id, Kind: "sweep", Team: w.cfg.Teams[r.IntN(len(w.cfg.Teams))].Name, Image: fmt.Sprintf("img-%d", r.IntN(5)),
 		ImageGB: 0.5 + 4*r.Float64(), Tasks: 1 + r.IntN(10), CPUs: float64(1 + r.IntN(int(w.cfg.CPUs/4))), GPUs: float64(r.IntN(2)),
 		Spot: r.IntN(3) > 0, RunS: 2 + math.Exp(4*r.Float64()), Urgency: []string{"critical", "high", "standard", "idle"}[r.IntN(4)]}
 	switch r.IntN(6) {
 	case 0, 1:
-		j.Shape, j.Tasks = "ensemble", 1+r.IntN(4)
+		j.Kind, j.Tasks = "ensemble", 1+r.IntN(4)
 		j.SamePlace = r.IntN(2) == 0
 		if r.IntN(2) == 0 {
 			j.CPUs = w.cfg.CPUs
 		}
 	case 2:
-		j.Shape, j.Tasks = "standing", 1+r.IntN(3)
-		j.CancelAfter = w.secs(20, 150)
+		j.Kind, j.Tasks = "standing", 1+r.IntN(3)
+		j.CancelAfter = w.randomSecs(20, 150)
 	}
 	switch r.IntN(8) {
 	case 0:
-		j.Tasks = 40 + r.IntN(80) // several chunks
-		if j.Shape != "sweep" {
+		j.Tasks = 40 + r.IntN(80) // their stored state takes several chunks
+		if j.Kind != "sweep" {
 			j.Tasks = 5
 		}
 		j.CPUs, j.GPUs = 1, 0
 	case 1:
-		j.Yard = w.cfg.Zones[r.IntN(len(w.cfg.Zones))]
+		j.Zone = w.cfg.Zones[r.IntN(len(w.cfg.Zones))]
 	case 2:
-		if j.Shape != "ensemble" {
+		if j.Kind != "ensemble" {
 			j.Apart = true
 			j.SamePlace = false
 		}
 	}
 	if r.IntN(2) == 0 {
-		j.SnapshotS, j.StowS = 5, 1
+		j.SnapshotS, j.SaveS = 5, 1
 	}
 	if r.IntN(6) == 0 && j.CancelAfter == 0 {
-		j.CancelAfter = w.secs(0.1, 60)
+		j.CancelAfter = w.randomSecs(0.1, 60)
 	}
 	return j
 }
 
-// Unfinished lists accepted jobs that should be over and aren't.
+// Unfinished lists the accepted jobs that should be over and are not.
 func (w *World) Unfinished() []string {
 	var out []string
 	for id, j := range w.jobs {
-		if j.accepted && j.shape != "standing" && !j.bad && !j.toldDone && j.cancelledAt == 0 {
-			out = append(out, fmt.Sprintf("%s (%s, %d of %d done)", id, j.shape, len(j.results), j.tasks))
+		if j.accepted && j.kind != "standing" && !j.faulty && !j.reportedDone && j.cancelledAt == 0 {
+			out = append(out, fmt.Sprintf("%s (%s, %d of %d done)", id, j.kind, len(j.results), j.tasks))
 		}
 	}
 	return out
--- a/internal/sim/waiting_test.go
+++ b/internal/sim/waiting_test.go
@@ -18,26 +18,26 @@
 		w.Crash(i, time.Hour)
 	}
 	for id, j := range map[string]*userJob{
-		"j-1": {shape: "sweep", team: "free", tasks: 3, cpus: 2},
-		"j-2": {shape: "ensemble", team: "free", tasks: 6, cpus: 16},
-		"j-3": {shape: "ensemble", team: "free", tasks: 7, cpus: 16},            // there are six machines
-		"j-4": {shape: "sweep", team: "free", tasks: 1, cpus: 17},               // none is so large
-		"j-5": {shape: "standing", team: "blue", tasks: 1, cpus: 1, gpus: 21},   // the limit is 20
-		"j-6": {shape: "ensemble", team: "free", tasks: 3, cpus: 16, yard: "a"}, // two are there
-		"j-7": {shape: "ensemble", team: "free", tasks: 3, cpus: 16, apart: true},
-		"j-8": {shape: "ensemble", team: "free", tasks: 3, cpus: 16, samePlace: true},
-		"j-9": {shape: "sweep", team: "free", tasks: 3, cpus: 2, cancelAsked: true},
+		"j-1": {kind: "sweep", team: "free", tasks: 3, cpus: 2},
+		"j-2": {kind: "ensemble", team: "free", tasks: 6, cpus: 16},
+		"j-3": {kind: "ensemble", team: "free", tasks: 7, cpus: 16},            // there are six machines
+		"j-4": {kind: "sweep", team: "free", tasks: 1, cpus: 17},               // none is so large
+		"j-5": {kind: "standing", team: "blue", tasks: 1, cpus: 1, gpus: 21},   // the limit is 20
+		"j-6": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, zone: "a"}, // two are there
+		"j-7": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, apart: true},
+		"j-8": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, samePlace: true},
+		"j-9": {kind: "sweep", team: "free", tasks: 3, cpus: 2, cancelAsked: true},
 	} {
-		j.id, j.asked, j.accepted, j.results, j.saved = id, true, true, map[int]bool{}, map[int]time.Duration{}
+		j.id, j.requested, j.accepted, j.results, j.saved = id, true, true, map[int]bool{}, map[int]time.Duration{}
 		w.jobs[id] = j
 	}
-	w.Calm = 20 * time.Second
+	w.FaultsEndAt = 20 * time.Second
 	w.Run(100 * time.Second)
-	if len(w.Broken) > 0 {
-		t.Errorf("broken within 90 s: %v", w.Broken)
+	if len(w.Violations) > 0 {
+		t.Errorf("broken within 90 s: %v", w.Violations)
 	}
 	w.Run(130 * time.Second)
-	all := strings.Join(w.Broken, "\n")
+	all := strings.Join(w.Violations, "\n")
 	for i := 1; i <= 9; i++ {
 		if want, has := i == 1 || i == 2 || i == 7, strings.Contains(all, fmt.Sprintf("j-%d ", i)); want != has {
 			t.Errorf("j-%d: left waiting %v, want %v", i, has, want)
@@ -63,57 +63,57 @@
 			w.checkCancelled()
 			for i := range 90 {
 				id := fmt.Sprintf("j-%06d", i)
-				w.At(w.secs(3, 330), func() {
+				w.At(w.randomSecs(3, 330), func() {
 					j := w.randomJob(id)
 					switch w.rng.IntN(5) {
 					case 0: // wide
-						j.Shape, j.Tasks, j.CPUs, j.GPUs, j.Team, j.Apart = "ensemble", 3+w.rng.IntN(5), 16, 0, "free", false
+						j.Kind, j.Tasks, j.CPUs, j.GPUs, j.Team, j.Apart = "ensemble", 3+w.rng.IntN(5), 16, 0, "free", false
 					case 1:
-						j.Shape, j.SamePlace, j.Apart, j.Yard = []string{"sweep", "standing"}[w.rng.IntN(2)], true, false, ""
+						j.Kind, j.SamePlace, j.Apart, j.Zone = []string{"sweep", "standing"}[w.rng.IntN(2)], true, false, ""
 						j.Tasks, j.Team = 2+w.rng.IntN(12), "free"
 					}
-					if j.Shape == "standing" {
-						j.CancelAfter = w.secs(30, 250)
+					if j.Kind == "standing" {
+						j.CancelAfter = w.randomSecs(30, 250)
 					}
 					w.Submit(j)
 				})
 			}
-			w.Calm = 200 * time.Second
+			w.FaultsEndAt = 200 * time.Second
 			for range 8 {
-				w.At(w.secs(10, 150), func() {
+				w.At(w.randomSecs(10, 150), func() {
 					r, ms := w.rng, w.Machines()
 					switch r.IntN(7) {
 					case 0: // machines are faulty for a while: every task fails there
 						for _, m := range ms {
 							if r.IntN(2) == 0 {
-								m.bad = true
-								w.after(w.secs(5, 45), func() { m.bad = false })
+								m.failsTasks = true
+								w.after(w.randomSecs(5, 45), func() { m.failsTasks = false })
 							}
 						}
 					case 1:
 						for _, m := range ms {
 							if r.IntN(4) == 0 {
-								m.Slow = 2 + 3*r.Float64()
-								w.At(w.Calm, func() { m.Slow = 0 })
+								m.SlowFactor = 2 + 3*r.Float64()
+								w.At(w.FaultsEndAt, func() { m.SlowFactor = 0 })
 							}
 						}
 					case 2:
-						w.Crash(max(0, w.Leader()), w.secs(0.1, 8))
+						w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 8))
 					case 3:
-						w.CutZone(w.cfg.Zones[r.IntN(3)], w.secs(5, 45), r.IntN(2) == 0)
+						w.CutZone(w.cfg.Zones[r.IntN(3)], w.randomSecs(5, 45), r.IntN(2) == 0)
 					case 4:
 						zone := w.cfg.Zones[r.IntN(3)]
 						for _, m := range ms {
 							if m.Zone == zone && r.IntN(2) == 0 {
-								m.Die()
+								m.Fail()
 							}
 						}
 					case 5:
-						w.State.Outage(w.secs(2, 40))
+						w.State.Outage(w.randomSecs(2, 40))
 					default:
 						for _, m := range ms {
 							if r.IntN(3) == 0 {
-								m.Mute(w.secs(5, 45))
+								m.BlockOutbound(w.randomSecs(5, 45))
 							}
 						}
 					}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,8 +1,8 @@
-// Package sim is the repository's own simulated world: stand-ins for the state
-// service, the cloud, workers and users, written from the protocol, and a
-// network that delays, holds and resets what is sent. It runs several
-// controllers in one thread from a seed, and checks every rule of the protocol
-// against the stand-ins' own truth, never against what the service believes.
+// Package sim is a deterministic simulation: stand-ins for the state service,
+// the cloud, workers and users, written from the protocol, and a network that
+// delays, holds and resets messages. It runs several controllers in one thread
+// from a seed, and checks the rules of the protocol against the state of the
+// stand-ins, never against the controllers' own view.
 package sim
 
 import (
@@ -18,142 +18,148 @@
 	"brooklb/internal/units"
 )
 
-// Config of a world.
+// Config configures a World.
 type Config struct {
 	Seed  uint64
 	Nodes int
 	Zones []string
-	// NodeZones are where the controllers are; nil: in all zones.
+	// NodeZones are the zones of the controllers; nil: all zones.
 	NodeZones []string
 	// RPS and WriteRPS limit the state service; 0: 150 and 30.
 	RPS, WriteRPS float64
 	CloudRPS      float64 // 0: 4
-	// TxnOps and ValueKB limit a transaction's changes and a value, 0: 12 and 4 KiB. A page
-	// of keys has at most PageKeys, 0: 7, since small pages find more faults. Watches from
-	// before the last KeepChanges changes, 0: 300, are too old.
+	// TxnOps and ValueKB limit the changes of a transaction and the size of a value, 0: 12
+	// and 4 KiB. A page of keys has at most PageKeys, 0: 7, since small pages find more
+	// faults. Watches that begin before the last KeepChanges changes, 0: 300, are refused.
 	TxnOps, ValueKB, PageKeys, KeepChanges int
-	// Report is how often workers report, 0: every 3 s.
+	// Report is the mean interval of a worker's reports, 0: 3 s.
 	Report time.Duration
-	// CPUShare, MemMB and Sockets are what a controller may use, 0: unstated, 125 and 1,000.
+	// CPUShare, MemMB and Sockets are a controller's limits, 0: no limit stated, 125 and 1,000.
 	CPUShare, MemMB float64
 	Sockets         int
-	// MeterCPU measures the processor time that each simulated controller takes; the caller
-	// keeps the world to one thread.
+	// MeterCPU measures the processor time of each simulated controller; the caller must
+	// lock the world to one operating system thread.
 	MeterCPU   bool
 	Teams      []settings.Team
 	Objectives []settings.Objective
-	Capacity   int // machines of each kind in each zone
+	Capacity   int // on-demand machines, and spot machines, that each zone offers
 	Initial    int // machines up at the start
 	CPUs       float64
 	GPUs       float64
 	BootS      float64
 	Log        *slog.Logger
-	// NoFloors leaves out the floors of what runs.
-	NoFloors bool
-	// Declared are the counted resources of the operator's file.
+	// NoMinShares runs the controllers without minimum shares of teams and classes.
+	NoMinShares bool
+	// Declared are the counted resources that the operator's file declares.
 	Declared []units.Declared
-	// Outside has the stand-ins on real sockets; nil: all is simulated. Then Net is
-	// the part of the loopback network that they have, such as "127.20".
-	Outside Outside
-	Net     string
-	// Lease and Cancel are the workers' lease and the time that a cancellation has, 0: 30 s
-	// and 58 s. ToldLonger is by how much longer the controllers think that time to be.
-	Lease, Cancel, ToldLonger time.Duration
+	// Transport connects the stand-ins to real sockets; nil: the network is simulated.
+	// With a Transport, Net is the prefix of their loopback addresses, such as "127.20".
+	Transport Transport
+	Net       string
+	// Lease is the workers' lease, 0: 30 s. Cancel is the time within which the tasks of a
+	// cancelled job must end, 0: 58 s; the controllers' settings state a time that is
+	// longer by CancelOverstatement.
+	Lease, Cancel, CancelOverstatement time.Duration
 }
 
-// World is one simulated day.
+// World is one simulation with its stand-ins, controllers and network.
 type World struct {
-	cfg      Config
-	rng      *rand.Rand
-	now      time.Duration
-	events   eventHeap
-	seq      uint64
-	Set      []*settings.Settings
-	nodes    []*simNode
-	State    *State
-	Cloud    *Cloud
-	jobs     map[string]*userJob
-	gangs    map[string]*gang
-	services map[string]*userService
-	units    map[string][]unitsSet
-	cuts     map[[2]string]*cut
-	parted   []partition
-	Broken   []string
-	Started  int
-	Done     int
-	// Polls counts users' polls, Refused those that got 503, Good those that were answered.
-	Polls, Refused, Good int
-	Checks               int // of services' health
-	log                  *slog.Logger
-	// Garbage is how seldom (one in so many) an answer to a controller has a
-	// body that makes no sense; 0: never.
-	Garbage int
-	// Stuck is how seldom (one in so many) a request or an answer is held up
-	// alone for up to two minutes, while others pass; 0: never.
-	Stuck int
-	// Copies is how seldom (one in so many) a request arrives a second time, up to a
-	// minute later, though it was carried out and answered; 0: never.
-	Copies int
-	// OnSend sees every request as it is sent.
+	cfg        Config
+	rng        *rand.Rand
+	now        time.Duration
+	events     eventHeap
+	seq        uint64
+	Settings   []*settings.Settings
+	nodes      []*simNode
+	State      *State
+	Cloud      *Cloud
+	jobs       map[string]*userJob
+	gangs      map[string]*gang
+	services   map[string]*userService
+	units      map[string][]unitCount
+	cuts       map[[2]string]*cut
+	partitions []partition
+	Violations []string
+	Started    int
+	Done       int
+	// Polls counts users' polls, RefusedPolls those that got 503, AnsweredPolls those that
+	// got 200.
+	Polls, RefusedPolls, AnsweredPolls int
+	HealthChecks                       int // that instances of services received
+	log                                *slog.Logger
+	// One in GarbageOneIn answers to requests of controllers has an invalid body;
+	// 0: none.
+	GarbageOneIn int
+	// One in StallOneIn requests and answers is delayed by up to two minutes, while
+	// others pass; 0: none.
+	StallOneIn int
+	// One in DuplicateOneIn requests arrives a second time, up to a minute later, although
+	// the first was executed and answered; 0: none.
+	DuplicateOneIn int
+	// OnSend is called with every request when it is sent.
 	OnSend func(from string, c actor.Call)
-	// Delay holds a single request up on its way, Lag a single answer.
-	Delay, Lag func(from string, c actor.Call) time.Duration
-	outside    Outside
-	// Ops is the history of what users asked and were told, if Record is set.
-	Record bool
-	Ops    []Op
-	// Front says to which node users go, nil or less than 0: to any. Patience is for
-	// how long they try again, 0: for ever; Turned counts how often they were told to
-	// come back later.
-	Front    func() int
-	Patience time.Duration
-	Turned   int
-	// Older are the nodes whose program knows nothing of parts: it neither says nor
-	// reads what the field numbers from 8 on say.
-	Older map[string]bool
-	// Answered counts, by node, the reports that were answered with 200 in time.
+	// RequestDelay returns an extra delay of a request, AnswerDelay of its answer.
+	RequestDelay, AnswerDelay func(from string, c actor.Call) time.Duration
+	transport                 Transport
+	// Ops is the history of users' operations on jobs, if RecordOps is set.
+	RecordOps bool
+	Ops       []Op
+	// UserNode returns the node that users send a request to; nil or a negative value:
+	// any. SubmitTimeout is how long users retry a submission, 0: without limit.
+	// RetryLater counts the submissions that got 429.
+	UserNode      func() int
+	SubmitTimeout time.Duration
+	RetryLater    int
+	// OlderNodes are the nodes, by name, whose program neither writes nor reads the
+	// fields of a status with numbers from 8 on.
+	OlderNodes map[string]bool
+	// Answered counts, by node, the workers' reports that were answered with 200 in time.
 	Answered map[int]int
-	// LongestCancelled is the longest that a task was on its machine after its user was
-	// told of the job's cancellation.
+	// LongestCancelled is the longest time that a task was on its machine after its user
+	// received the answer that the job is cancelled.
 	LongestCancelled time.Duration
 	// KilledByLease counts the tasks that ran when their worker's lease ran out.
 	KilledByLease int
-	// OnStart sees every start that is carried out, OnEnd every job whose last task has
-	// completed.
+	// OnStart is called with every start that a worker executes, OnEnd with every job whose
+	// last task has completed.
 	OnStart func(r *runner)
 	OnEnd   func(j *userJob)
-	// OnAccepted hears how long after its first submission a job was accepted.
+	// OnAccepted is called with the time from the first submission of a job to its acceptance.
 	OnAccepted func(after time.Duration)
-	// OnTask hears of what happens to tasks.
+	// OnTask is called with every task event.
 	OnTask func(TaskEvent)
-	// use is what runs, and limits what may run, by team.
+	// use is what tasks on machines use, and limits what they may use, by team.
 	use    map[string]*teamUse
 	limits map[string]settings.Team
-	// StartsAfterCancel counts the starts of jobs whose users had been told of their
-	// cancellation.
+	// StartsAfterCancel counts the starts of jobs whose users had received the answer that
+	// the job is cancelled.
 	StartsAfterCancel int
-	late              lateness
-	slow              map[[2]int]slowLink
-	// OddRefused counts the jobs that can't run or lack a field and were refused as such.
-	OddRefused, oddSent int
-	// cancelsAtEnd is the share of jobs that are cancelled as they end, until then.
-	cancelsAtEnd      float64
-	cancelsAtEndUntil time.Duration
-	// balance is how a load balancer takes the nodes to be (Balance), nil: there is none.
-	balance []balanced
-	// Calm is when all troubles are over, 0: no job is held against silence and mostWait.
-	Calm time.Duration
-	// LongestWait is the longest that a job was left waiting since then while there was room.
+	delayed           delayedMessages
+	slowLinks         map[[2]int]slowLink
+	// InvalidRefused counts the invalid submissions that were refused with the expected status.
+	InvalidRefused, invalidSent int
+	// cancelAtEndShare is the share of jobs that are cancelled as they end, until cancelAtEndUntil.
+	cancelAtEndShare float64
+	cancelAtEndUntil time.Duration
+	// backends is the load balancer's view of the nodes (StartLoadBalancer), nil: there is no
+	// load balancer.
+	backends []backend
+	// FaultsEndAt is when all injected faults are over; from then on the limits maxUnanswered
+	// and maxWait apply to jobs. 0: they never apply.
+	FaultsEndAt time.Duration
+	// LongestWait is the longest time since then that a job was not started while there was room.
 	LongestWait time.Duration
-	// Taken is what the probe of a resource answers, less than 0: nothing.
-	Taken int
+	// ExternalUse is the use that the probe of a resource reports; negative: it does not answer.
+	ExternalUse int
 }
 
-func (w *World) broke(rule, format string, a ...any) {
-	w.Broken = append(w.Broken, fmt.Sprintf("%8.3f %s: %s", w.now.Seconds(), rule, fmt.Sprintf(format, a...)))
+// reportViolation records that a rule was broken.
+func (w *World) reportViolation(rule, format string, a ...any) {
+	w.Violations = append(w.Violations, fmt.Sprintf("%8.3f %s: %s", w.now.Seconds(), rule, fmt.Sprintf(format, a...)))
 }
 
-func (w *World) secs(lo, hi float64) time.Duration {
+// randomSecs returns a random duration between lo and hi seconds.
+func (w *World) randomSecs(lo, hi float64) time.Duration {
 	return time.Duration((lo + (hi-lo)*w.rng.Float64()) * float64(time.Second))
 }
 
@@ -162,7 +168,7 @@
 	cloudAddr = "10.2.0.2:8443"
 )
 
-// New makes a world with its controllers running.
+// New makes a world and starts its simulated controllers.
 func New(cfg Config) *World {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -178,8 +184,8 @@
 	cfg.PageKeys, cfg.KeepChanges = cmp.Or(cfg.PageKeys, 7), cmp.Or(cfg.KeepChanges, 300)
 	cfg.Report = cmp.Or(cfg.Report, 3*time.Second)
 	cfg.MemMB, cfg.Sockets = cmp.Or(cfg.MemMB, 125), cmp.Or(cfg.Sockets, 1000)
-	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), jobs: map[string]*userJob{}, gangs: map[string]*gang{}, services: map[string]*userService{}, units: map[string][]unitsSet{},
-		use: map[string]*teamUse{}, limits: map[string]settings.Team{}, cuts: map[[2]string]*cut{}, slow: map[[2]int]slowLink{}, Answered: map[int]int{}, log: cfg.Log, outside: cfg.Outside}
+	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), jobs: map[string]*userJob{}, gangs: map[string]*gang{}, services: map[string]*userService{}, units: map[string][]unitCount{},
+		use: map[string]*teamUse{}, limits: map[string]settings.Team{}, cuts: map[[2]string]*cut{}, slowLinks: map[[2]int]slowLink{}, Answered: map[int]int{}, log: cfg.Log, transport: cfg.Transport}
 	for _, t := range cfg.Teams {
 		w.limits[t.Name] = t
 	}
@@ -190,31 +196,31 @@
 		s := &settings.Settings{Label: fmt.Sprintf("n%d", i), Location: cfg.NodeZones[i%len(cfg.NodeZones)],
 			Bind: fmt.Sprintf("10.0.0.%d:8080", i+1), ClusterListen: fmt.Sprintf("10.0.0.%d:8081", i+1)}
 		s.External.State, s.External.Cloud = stateAddr, cloudAddr
-		if cfg.Outside != nil {
-			// Each controller has its own address of the same stand-ins, so that they
-			// know who asks.
+		if cfg.Transport != nil {
+			// Each controller has its own address for the same stand-ins, so that they can
+			// identify the sender.
 			s.Bind, s.ClusterListen = fmt.Sprintf("%s.0.%d:8080", cfg.Net, i+1), fmt.Sprintf("%s.0.%d:8081", cfg.Net, i+1)
 			s.External.State, s.External.Cloud = fmt.Sprintf("%s.1.%d:2379", cfg.Net, i+1), fmt.Sprintf("%s.1.%d:8443", cfg.Net, i+1)
 		}
 		f := &s.Facts
 		f.Nodes, f.Zones, f.Teams, f.Objectives = cfg.Nodes, cfg.Zones, cfg.Teams, cfg.Objectives
-		f.Workers.ReportS, f.Workers.LeaseS, f.Workers.GangWaitS, f.Workers.GangPeerS, f.Workers.CancelS = cfg.Report.Seconds(), w.lease().Seconds(), 30, 5, w.cancelWithin().Seconds()+cfg.ToldLonger.Seconds()
+		f.Workers.ReportS, f.Workers.LeaseS, f.Workers.GangWaitS, f.Workers.GangPeerS, f.Workers.CancelS = cfg.Report.Seconds(), w.lease().Seconds(), 30, 5, w.cancelDeadline().Seconds()+cfg.CancelOverstatement.Seconds()
 		f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = cfg.RPS, cfg.WriteRPS, float64(cfg.ValueKB), cfg.TxnOps
 		f.Cloud.RPS, f.Cloud.ListLagS = cfg.CloudRPS, 4
 		f.Limits.CPUShare, f.Limits.MemMB, f.Limits.Sockets = cfg.CPUShare, cfg.MemMB, cfg.Sockets
-		w.Set = append(w.Set, s)
+		w.Settings = append(w.Settings, s)
 	}
-	for i, s := range w.Set {
-		for k, p := range w.Set {
+	for i, s := range w.Settings {
+		for k, p := range w.Settings {
 			if k != i {
 				s.Peers = append(s.Peers, settings.Peer{Label: p.Label, Location: p.Location, Endpoint: p.ClusterListen})
 			}
 		}
-		n := &simNode{w: w, host: s.Label, addr: s.Bind, set: s, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(100+i))),
+		n := &simNode{w: w, host: s.Label, addr: s.Bind, settings: s, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(100+i))),
 			skew: 1 + (w.rng.Float64()-0.5)*0.001}
 		w.nodes = append(w.nodes, n)
-		if cfg.Outside == nil {
-			w.boot(i)
+		if cfg.Transport == nil {
+			w.startNode(i)
 		}
 	}
 	for i := 0; i < cfg.Initial; i++ {
@@ -223,10 +229,10 @@
 	return w
 }
 
-// NodeName is the host name of a controller, for Cut.
+// NodeName is the host name of a controller, as Cut takes it.
 func (w *World) NodeName(i int) string { return w.nodes[i].host }
 
-// Machines lists the machines that exist, in name order.
+// Machines lists the machines that exist, in the order of their names.
 func (w *World) Machines() []*Machine {
 	var out []*Machine
 	for _, m := range w.Cloud.machines {
--- a/internal/sim/zone_test.go
+++ b/internal/sim/zone_test.go
@@ -31,25 +31,25 @@
 	const from = 60 * time.Second
 	w := worldOf(Config{Seed: 970 + seed, Nodes: nodes})
 	w.checkCancelled()
-	lasts := w.lease() + w.secs(5, 40)
+	lasts := w.lease() + w.randomSecs(5, 40)
 	w.At(5*time.Second, func() {
 		for i := range 12 {
-			w.Submit(Job{ID: fmt.Sprintf("j-9%d", i), Shape: []string{"sweep", "standing", "ensemble"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 100, SnapshotS: 10, StowS: 2})
+			w.Submit(Job{ID: fmt.Sprintf("j-9%d", i), Kind: []string{"sweep", "standing", "ensemble"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 100, SnapshotS: 10, SaveS: 2})
 		}
 	})
 	in, on, told := -1, 0, 0
 	zone := ""
 	w.At(from, func() {
 		l := w.Leader()
-		zone = w.nodes[l].set.Location
+		zone = w.nodes[l].settings.Location
 		for i := range w.nodes {
-			if !inside && w.nodes[i].set.Location != zone {
-				zone = w.nodes[i].set.Location
+			if !inside && w.nodes[i].settings.Location != zone {
+				zone = w.nodes[i].settings.Location
 				break
 			}
 		}
 		for i := range w.nodes {
-			if w.nodes[i].set.Location == zone {
+			if w.nodes[i].settings.Location == zone {
 				in = i
 			}
 		}
@@ -59,10 +59,10 @@
 			}
 		}
 		w.CutZone(zone, lasts, hold)
-		w.Front = func() int {
+		w.UserNode = func() int {
 			if w.now < from+lasts { // users outside are led to the others
 				for i := range w.nodes {
-					if w.nodes[i].set.Location != zone && w.rng.IntN(2) == 0 {
+					if w.nodes[i].settings.Location != zone && w.rng.IntN(2) == 0 {
 						return i
 					}
 				}
@@ -72,14 +72,14 @@
 			}
 			return -1
 		}
-		w.after(w.secs(1, 15), func() {
+		w.after(w.randomSecs(1, 15), func() {
 			for i := range 6 {
 				w.cancel(w.jobs[fmt.Sprintf("j-9%d", i)])
 			}
 		})
 		for i := range 20 {
-			w.after(w.secs(1, lasts.Seconds()), func() {
-				w.Submit(Job{ID: fmt.Sprintf("j-8%02d", i), Shape: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 2, CPUs: 2, RunS: 10})
+			w.after(w.randomSecs(1, lasts.Seconds()), func() {
+				w.Submit(Job{ID: fmt.Sprintf("j-8%02d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 2, CPUs: 2, RunS: 10})
 			})
 		}
 	})
@@ -91,21 +91,21 @@
 		}
 	})
 	w.At(from+lasts, func() { // all are asked about at once, at the node that comes back
-		for _, id := range w.ids() {
+		for _, id := range w.jobIDs() {
 			if w.jobs[id].accepted {
 				w.poll(w.jobs[id])
-				w.submit(w.jobs[id], w.jobs[id].body, 100)
+				w.submit(w.jobs[id], w.jobs[id].submission, 100)
 			}
 		}
 		w.after(60*time.Second, func() {
 			for i := 6; i < 12; i++ {
-				if j := w.jobs[fmt.Sprintf("j-9%d", i)]; j.shape == "standing" {
+				if j := w.jobs[fmt.Sprintf("j-9%d", i)]; j.kind == "standing" {
 					w.cancel(j)
 				}
 			}
 		})
 	})
-	w.Calm = from + lasts
+	w.FaultsEndAt = from + lasts
 	w.Run(700 * time.Second)
 	w.verdict(t, 20)
 	if on == 0 || told < 6 {
@@ -151,13 +151,13 @@
 				w.checkCancelled()
 				w.At(5*time.Second, func() {
 					for i := range 9 {
-						j := Job{ID: fmt.Sprintf("j-9%d", i), Shape: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3 + i%3, CPUs: 4, RunS: 60 + float64(10*i), SnapshotS: 10, StowS: 2,
+						j := Job{ID: fmt.Sprintf("j-9%d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3 + i%3, CPUs: 4, RunS: 60 + float64(10*i), SnapshotS: 10, SaveS: 2,
 							SamePlace: true, CancelAfter: time.Duration(i%3/2) * 300 * time.Second}
 						if c.apart && i%2 == 0 {
 							j.SamePlace, j.Apart = false, true
 						}
 						if c.pinned && i < 3 {
-							j.Yard = "a"
+							j.Zone = "a"
 						}
 						w.Submit(j)
 					}
@@ -180,12 +180,12 @@
 						if m.Zone != zone || c.share < 1 && k%2 == 0 {
 							continue
 						}
-						for _, r := range m.sorted() {
+						for _, r := range m.sortedTasks() {
 							hit++
 							there[r.job.id] = true
 						}
 						if c.die {
-							m.Die()
+							m.Fail()
 						} else if !c.unboxed {
 							for i := range w.nodes {
 								w.Cut(w.NodeName(i), m.Name, c.lasts, seed%2 == 0)
@@ -207,7 +207,7 @@
 				if c.crash {
 					w.At(from+10*time.Second, func() { w.Crash(max(0, w.Leader()), 2*time.Second) })
 				}
-				w.Calm = from + max(c.lasts, time.Second)
+				w.FaultsEndAt = from + max(c.lasts, time.Second)
 				w.Run(900 * time.Second)
 				w.verdict(t, 6)
 				if hit < 3 || len(there) < 2 {
