--- a/internal/sim/away_test.go
+++ b/internal/sim/away_test.go
@@ -10,30 +10,31 @@
 	"brooklb/internal/actor"
 )
 
-// away is a day on which all controllers are away for longer than a lease.
-type away struct {
-	name   string
-	back   func(i int) time.Duration // after the first is back
-	copies bool                      // of reports from before arrive first
-	rents  bool                      // rentals are on their way, and carried out late
-	outage bool                      // the state service is out, too, until 20 s after
+// restartCase describes a run in which all controllers are down for longer than a lease.
+type restartCase struct {
+	name        string
+	delay       func(i int) time.Duration // how long after the first controller i is back
+	oldReports  bool                      // copies of reports from before the crash arrive first
+	lateRentals bool                      // requests for machines are delayed and carried out late
+	stateOutage bool                      // the state service fails, too, until 20 s after the first is back
 }
 
-// TestAllAway has all controllers end and come back after longer than lease_s: at once, one by
-// one, or one alone for a minute. All tasks have died with their leases, and sessions have
-// changed. Few tasks are started more than once, no gang under an attempt that had begun.
-func TestAllAway(t *testing.T) {
+// TestAllControllersRestart has all controllers down for longer than a lease. They come back at
+// once, one by one, or one of them alone for a minute. By then all tasks have been killed as
+// their workers' leases expired, and the workers have new sessions. Few tasks may be started more
+// than once, and no gang under an attempt that had begun.
+func TestAllControllersRestart(t *testing.T) {
 	at := func(d time.Duration) func(int) time.Duration {
 		return func(i int) time.Duration { return time.Duration(i) * d }
 	}
-	for _, c := range []away{
-		{name: "at once", back: at(0)},
-		{name: "one by one", back: at(7 * time.Second)},
-		{name: "one alone for a minute", back: func(i int) time.Duration { return time.Duration(min(i, 1)) * time.Minute }},
-		{name: "old reports first", back: at(0), copies: true},
-		{name: "old reports first, one alone", back: func(i int) time.Duration { return time.Duration(min(i, 1)) * time.Minute }, copies: true},
-		{name: "rentals carried out late", back: at(2 * time.Second), rents: true},
-		{name: "an outage, too", back: at(time.Second), copies: true, outage: true},
+	for _, c := range []restartCase{
+		{name: "at once", delay: at(0)},
+		{name: "one by one", delay: at(7 * time.Second)},
+		{name: "one alone for a minute", delay: func(i int) time.Duration { return time.Duration(min(i, 1)) * time.Minute }},
+		{name: "old reports first", delay: at(0), oldReports: true},
+		{name: "old reports first, one alone", delay: func(i int) time.Duration { return time.Duration(min(i, 1)) * time.Minute }, oldReports: true},
+		{name: "rentals carried out late", delay: at(2 * time.Second), lateRentals: true},
+		{name: "with an outage of the state service", delay: at(time.Second), oldReports: true, stateOutage: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -47,20 +48,20 @@
 							CancelAfter: time.Duration(i%3/2) * 400 * time.Second})
 					}
 				})
-				gone := w.lease() + w.randomSecs(4, 25)
-				var old [][]byte
+				downtime := w.lease() + w.randomSecs(4, 25)
+				var reports [][]byte
 				w.OnSend = func(from string, a actor.Call) {
-					if c.copies && a.Path == "/hello" && w.now > 40*time.Second && w.now < 60*time.Second {
-						old = append(old, bytes.Clone(a.Body))
+					if c.oldReports && a.Path == "/hello" && w.now > 40*time.Second && w.now < 60*time.Second {
+						reports = append(reports, bytes.Clone(a.Body))
 					}
 				}
 				w.RequestDelay = func(_ string, a actor.Call) time.Duration {
-					if c.rents && a.Path == "/hosts" && a.Method == "POST" && w.now > 50*time.Second && w.now < from {
-						return gone + w.randomSecs(0, 10)
+					if c.lateRentals && a.Path == "/hosts" && a.Method == "POST" && w.now > 50*time.Second && w.now < from {
+						return downtime + w.randomSecs(0, 10)
 					}
 					return 0
 				}
-				if c.rents {
+				if c.lateRentals {
 					w.At(53*time.Second, func() {
 						for i := range 10 {
 							w.Submit(Job{ID: fmt.Sprintf("j-8%02d", i), Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 9, RunS: 60})
@@ -74,16 +75,16 @@
 						machines[m.Name] = true
 					}
 					for i := range w.nodes {
-						w.Crash(i, gone+c.back(i))
+						w.Crash(i, downtime+c.delay(i))
 					}
-					if c.outage {
-						w.State.Outage(gone + 20*time.Second)
+					if c.stateOutage {
+						w.State.Outage(downtime + 20*time.Second)
 					}
 					w.OnStart = func(r *runner) { starts[r.job.id+fmt.Sprint("/", r.task)]++ }
 				})
 				copied := 0
-				w.At(from+gone+10*time.Millisecond, func() {
-					for i, b := range old {
+				w.At(from+downtime+10*time.Millisecond, func() {
+					for i, b := range reports {
 						w.after(time.Duration(i)*10*time.Millisecond, func() {
 							if s := w.nodes[0]; s.up {
 								copied++
@@ -92,16 +93,16 @@
 						})
 					}
 				})
-				w.Run(from + gone - 100*time.Millisecond)
+				w.Run(from + downtime - 100*time.Millisecond)
 				if w.KilledByLease < running*9/10 {
-					t.Errorf("seed %d: %d of %d tasks died with their leases: the meeting did not come about", seed, w.KilledByLease, running)
+					t.Errorf("seed %d: %d of %d tasks were killed by expired leases: the intended scenario did not occur", seed, w.KilledByLease, running)
 				}
-				w.Run(from + gone + 100*time.Second)
-				again, more := 0, []string{}
+				w.Run(from + downtime + 100*time.Second)
+				totalStarts, repeated := 0, []string{}
 				for k, n := range starts {
-					again += n
+					totalStarts += n
 					if n > 1 {
-						more = append(more, k)
+						repeated = append(repeated, k)
 					}
 				}
 				returned := 0
@@ -110,26 +111,27 @@
 						returned++
 					}
 				}
-				t.Logf("seed %d: %d tasks ran before, %d starts in the 100 s after, %d tasks started more than once, %d of %d machines returned, %d copies", seed, running, again, len(more), returned, len(machines), copied)
-				// A worker that is asked for its status may lose its session before a report of
-				// it is answered: what it was given meanwhile is started once more.
-				if extra := again - len(starts); 5*extra > len(starts) {
-					t.Errorf("seed %d: %d starts too many: %s", seed, extra, strings.Join(more, " "))
+				t.Logf("seed %d: %d tasks ran before, %d starts in the 100 s after, %d tasks started more than once, %d of %d machines returned, %d copies of reports", seed, running, totalStarts, len(repeated), returned, len(machines), copied)
+				// A worker that is asked for its status may lose its session before one of its
+				// reports is answered: the tasks that it got meanwhile are started once more.
+				if extra := totalStarts - len(starts); 5*extra > len(starts) {
+					t.Errorf("seed %d: %d repeated starts: %s", seed, extra, strings.Join(repeated, " "))
 				}
-				if c.copies && copied == 0 {
-					t.Error("no copies came: the meeting did not come about")
+				if c.oldReports && copied == 0 {
+					t.Error("no copies of reports arrived: the intended scenario did not occur")
 				}
-				w.FaultsEndAt = from + gone + max(c.back(1), c.back(2)) + 20*time.Second
+				w.FaultsEndAt = from + downtime + max(c.delay(1), c.delay(2)) + 20*time.Second
 				w.Run(900 * time.Second)
-				w.verdict(t, 8)
+				w.checkOutcome(t, 8)
 			}
 		})
 	}
 }
 
-// TestTenLeaders has the leader change ten times in two minutes, also inside an outage, while
-// machines die: each term waits anew for those that it hasn't heard. Work goes on within 15 s
-// of the last change, and what was lost is started again as soon as there is room for it.
+// TestTenLeaders has the leader change ten times in two minutes, also during an outage of the
+// state service, while machines fail. Each new leader has to wait again for the workers that have
+// not reported to it. Starts resume within 15 s of the last change, and lost tasks are started
+// again as soon as there is room for them.
 func TestTenLeaders(t *testing.T) {
 	t.Parallel()
 	for _, outage := range []bool{false, true} {
@@ -138,7 +140,7 @@
 			const from = 60 * time.Second
 			w := worldOf(Config{Seed: 1200 + seed, Nodes: 3})
 			w.checkCancelled()
-			w.steady("steady", 1, time.Second, 5*time.Second, 300*time.Second, func(int) Job {
+			w.submitSteadily("steady", 1, time.Second, 5*time.Second, 300*time.Second, func(int) Job {
 				return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 1, RunS: 6}
 			})
 			w.At(5*time.Second, func() {
@@ -158,13 +160,13 @@
 			if outage {
 				w.At(from+30*time.Second, func() { w.State.Outage(40 * time.Second) })
 			}
-			dead := map[string]bool{} // tasks that are lost with their machines
+			lostTasks := map[string]bool{} // tasks that are lost with their machines, by job and number
 			w.At(from+20*time.Second, func() {
 				for i, m := range w.Machines() {
 					if i%3 == 0 {
 						for _, r := range m.sortedTasks() {
 							if r.job.kind == "sweep" && r.phase == "running" && r.job.tasks == 4 {
-								dead[fmt.Sprint(r.job.id, "/", r.task)] = true
+								lostTasks[fmt.Sprint(r.job.id, "/", r.task)] = true
 							}
 						}
 						m.Fail()
@@ -172,15 +174,15 @@
 				}
 			})
 			last := from + 9*12*time.Second
-			first := time.Duration(0)
+			firstStart := time.Duration(0)
 			w.At(from+20*time.Second+time.Millisecond, func() {
-				lost += len(dead)
+				lost += len(lostTasks)
 				w.OnStart = func(r *runner) {
-					if w.now > last && first == 0 {
-						first = w.now - last
+					if w.now > last && firstStart == 0 {
+						firstStart = w.now - last
 					}
-					if k := fmt.Sprint(r.job.id, "/", r.task); dead[k] {
-						delete(dead, k)
+					if k := fmt.Sprint(r.job.id, "/", r.task); lostTasks[k] {
+						delete(lostTasks, k)
 						started++
 						worst = max(worst, w.now-last)
 					}
@@ -188,17 +190,17 @@
 			})
 			w.FaultsEndAt = last + 5*time.Second
 			w.Run(last + 100*time.Second)
-			if first == 0 || first > 15*time.Second {
-				t.Errorf("outage %v, seed %d: the first start came %v after the last change", outage, seed, first)
+			if firstStart == 0 || firstStart > 15*time.Second {
+				t.Errorf("outage %v, seed %d: the first start came %v after the last change", outage, seed, firstStart)
 			}
 			if len(tokens) < 7 && !outage || len(tokens) < 5 {
-				t.Errorf("outage %v, seed %d: %d leaders: the meeting did not come about", outage, seed, len(tokens))
+				t.Errorf("outage %v, seed %d: %d leaders: the intended scenario did not occur", outage, seed, len(tokens))
 			}
 			w.Run(1200 * time.Second)
-			w.verdict(t, 250)
+			w.checkOutcome(t, 250)
 			wait = max(wait, w.LongestWait)
 		}
-		t.Logf("outage %v: %d of %d lost tasks were started again, the last %v after the last change of leader; nothing waited for more than %v while there was room",
+		t.Logf("outage %v: %d of %d lost tasks were started again, the last %v after the last change of leader; no job waited for more than %v while there was room",
 			outage, started, lost, worst.Round(time.Second), wait.Round(time.Second))
 		if started < lost {
 			t.Errorf("outage %v: %d of %d lost tasks were started again", outage, started, lost)
--- a/internal/sim/boots_test.go
+++ b/internal/sim/boots_test.go
@@ -40,7 +40,7 @@
 				t.Errorf("factor %v, all %v: %d machines for work of 16", factor, all, len(w.Cloud.machines))
 			}
 			w.Run(1200 * time.Second)
-			w.verdict(t, 8)
+			w.checkOutcome(t, 8)
 			t.Logf("factor %v, all %v: %v, %d machines in all, cost %.0f", factor, all, rented, len(w.Cloud.machines), w.Cloud.Cost)
 		}
 	}
@@ -61,5 +61,5 @@
 		w.Submit(Job{ID: "j-1", Kind: "ensemble", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 4, CPUs: 16, RunS: 20})
 	})
 	w.Run(500 * time.Second)
-	w.verdict(t, 1)
+	w.checkOutcome(t, 1)
 }
--- a/internal/sim/copies_test.go
+++ b/internal/sim/copies_test.go
@@ -21,7 +21,7 @@
 	for _, seed := range seeds(t, 4) {
 		w := world(45000 + seed)
 		w.checkCancelled()
-		w.steady("short", 1, 1200*time.Millisecond, 5*time.Second, 240*time.Second, func(i int) Job {
+		w.submitSteadily("short", 1, 1200*time.Millisecond, 5*time.Second, 240*time.Second, func(i int) Job {
 			j := Job{Kind: "sweep", Team: "red", Tasks: 3, CPUs: 8, RunS: float64(4 + i%6)}
 			if i%16 == 0 { // some tasks are done, others wait, when it is cancelled
 				j.Tasks, j.CancelAfter = 60, 25*time.Second
@@ -29,7 +29,7 @@
 			return j
 		})
 		// Others' work comes and goes, so that machines have room when the team is at its limit.
-		w.steady("others", 2, 4*time.Second, 5*time.Second, 300*time.Second, func(i int) Job {
+		w.submitSteadily("others", 2, 4*time.Second, 5*time.Second, 300*time.Second, func(i int) Job {
 			return Job{Kind: "sweep", Team: "free", Tasks: 1 + i%12, CPUs: 6, RunS: float64(5 + i%9)}
 		})
 		w.OnSend = func(from string, c actor.Call) {
@@ -61,7 +61,7 @@
 			w.At(120*time.Second, func() { w.Crash(max(0, w.Leader()), 3*time.Second) })
 		}
 		w.Run(600 * time.Second)
-		w.verdict(t, 100)
+		w.checkOutcome(t, 100)
 	}
 	t.Logf("copies of starts of done tasks: %d came while their team was at its limit, %d long after a cancellation", atLimit, cancelled)
 	if atLimit < 30 || cancelled < 30 {
--- a/internal/sim/door_test.go
+++ b/internal/sim/door_test.go
@@ -39,11 +39,11 @@
 			t.Errorf("%s: no answer", v.Job.ID)
 		}
 	}
-	ok := next("j-2", "web:good", 4)
+	ok := versionJob("j-2", "web:good", 4)
 	red := Job{ID: "j-2", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 10, CPUs: 16}
 	far := ok
 	far.Team = "nobody"
-	many := next("j-2", "web:good", 5000)
+	many := versionJob("j-2", "web:good", 5000)
 	for _, c := range []struct {
 		v    Version
 		want int
@@ -52,7 +52,7 @@
 		{Version{Service: "shop", Job: ok, From: "j-77", Surge: 1}, 404, "no job j-77"},
 		{Version{Service: "shop", Job: ok, From: "j-5", Surge: 1}, 422, "end by themselves"},
 		{Version{Service: "shop", Job: ok, From: "j-1"}, 400, "could ever be replaced"},
-		{Version{Service: "shop", Job: next("j-1", "web:good", 4), Surge: 1}, 409, "id of its own"},
+		{Version{Service: "shop", Job: versionJob("j-1", "web:good", 4), Surge: 1}, 409, "id of its own"},
 		{Version{Service: "shop", Job: far, From: "j-1", Surge: 1}, 422, "unknown team"},
 		{Version{Service: "shop", Job: many, From: "j-1", Surge: 1}, 422, "at most 4096"},
 		{Version{Service: "shop", Job: red, From: "j-6", Surge: 1}, 422, "leaves no room"},
@@ -74,8 +74,8 @@
 		t.Errorf("%d records were written", n)
 	}
 	// The workers' own port: found by the leader, before anything is touched.
-	w.mustRollout(t, Version{Service: "pub", Job: next("j-9", "web:good", 4), From: "j-1", Surge: 1, Health: map[string]any{"port": 8999, "per_task": true, "path": "/"}})
-	if state, why := w.until("pub", 1, time.Minute); state != "rolled back" || !strings.Contains(why, "port 9000 is the workers' own") {
+	w.mustRollout(t, Version{Service: "pub", Job: versionJob("j-9", "web:good", 4), From: "j-1", Surge: 1, Health: map[string]any{"port": 8999, "per_task": true, "path": "/"}})
+	if state, why := w.awaitRollout("pub", 1, time.Minute); state != "rolled back" || !strings.Contains(why, "port 9000 is the workers' own") {
 		t.Errorf("checks at the workers' port: %q because %q", state, why)
 	}
 	// A record that can't be read is nobody's to change, and starts nothing.
@@ -94,7 +94,7 @@
 	if asked == 0 || string(w.State.keys["b/s/broken"].value) != `{"v":9}` {
 		t.Error("no answer, or the record was changed")
 	}
-	w.noneBroken(t)
+	w.checkNoBrokenRules(t)
 }
 
 // TestAfter has the roll-out of one team's service wait for another's: it begins
@@ -104,9 +104,9 @@
 		w := serviceWorld(t, Config{Seed: 96}, 4)
 		w.Submit(Job{ID: "j-6", Kind: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 4, CPUs: 2})
 		w.Run(w.now + 30*time.Second)
-		w.mustRollout(t, Version{Service: "shop", Job: next("j-2", c.image, 4), From: "j-1", Surge: 1, Plan: map[string]any{"bake_s": 5.0}, Health: health})
+		w.mustRollout(t, Version{Service: "shop", Job: versionJob("j-2", c.image, 4), From: "j-1", Surge: 1, Plan: map[string]any{"bake_s": 5.0}, Health: healthCheck})
 		w.Run(w.now + 3*time.Second)
-		red := next("j-7", "web:good", 4)
+		red := versionJob("j-7", "web:good", 4)
 		red.Team = "red"
 		other := map[string]any{"port": 9100, "per_task": true, "path": "/", "interval_s": 2.0}
 		w.mustRollout(t, Version{Service: "till", Job: red, From: "j-6", Surge: 1, Plan: map[string]any{"after": "shop"}, Health: other})
@@ -126,6 +126,6 @@
 		if state, _, _ := w.PastRollout("till", 1); state == "" {
 			t.Error("till's roll-out doesn't end")
 		}
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 	}
 }
--- a/internal/sim/ends_test.go
+++ b/internal/sim/ends_test.go
@@ -99,7 +99,7 @@
 			w.Run(200 * time.Second)
 			w.AnswerDelay = nil
 			w.Run(400 * time.Second)
-			w.noneBroken(t)
+			w.checkNoBrokenRules(t)
 			n, _ := w.linearizable(t, seed)
 			total += n
 			for _, j := range w.jobs {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -11,8 +11,8 @@
 	"brooklb/internal/settings"
 )
 
-// fleetWorld is a world of the size that the fleet deployments have: so many
-// machines, with eight tasks on each, in arrays of a hundred.
+// fleetWorld returns a world with the given number of machines, as large deployments
+// have them, with eight tasks on each, in arrays of a hundred.
 func fleetWorld(machines int) *World {
 	w := New(Config{Seed: 71, Nodes: 3, Zones: []string{"a", "b", "c"}, Capacity: machines, Initial: machines, CPUs: 16, GPUs: 4, BootS: 15,
 		RPS: 250, WriteRPS: 30, CloudRPS: 6, Teams: []settings.Team{{Name: "free"}}})
@@ -26,15 +26,15 @@
 	return w
 }
 
-// live counts the tasks on machines.
-func (w *World) live() (n int) {
+// liveTasks counts the tasks on machines.
+func (w *World) liveTasks() (n int) {
 	for _, m := range w.Machines() {
 		n += len(m.tasks)
 	}
 	return n
 }
 
-// heapMB is what the whole world holds, controllers and stand-ins.
+// heapMB returns the size of the heap, with controllers and stand-ins, in MB.
 func heapMB() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -42,24 +42,24 @@
 	return float64(m.HeapAlloc) / 1e6
 }
 
-// TestFleetRecovery crashes all controllers of a fleet at once, with work that
-// waits: starts must be back within the lease, the restart and 3 s, no machine
-// may lose its tasks, and the new leader must not rent for what is there.
+// TestFleetRecovery crashes all controllers of a fleet at once while work waits:
+// starts must resume within the lease, the restart and 3 s, no machine may lose
+// its tasks, and the new leader must not rent machines that it does not need.
 func TestFleetRecovery(t *testing.T) {
 	const machines, restart = 2000, 5 * time.Second
 	w := fleetWorld(machines)
-	before := w.live()
+	before := w.liveTasks()
 	if before < machines*8*95/100 {
 		t.Fatalf("%d tasks run on %d machines", before, machines)
 	}
-	var crashed, elected, first time.Duration
-	storm := 0
+	var crashed, elected, firstStart time.Duration
+	reports := 0
 	w.OnSend = func(from string, c actor.Call) {
 		switch {
-		case c.Path == "/hello" && first == 0:
-			storm++
-		case c.Path == "/orders" && first == 0 && strings.Contains(string(c.Body), `"start"`):
-			first = w.now
+		case c.Path == "/hello" && firstStart == 0:
+			reports++
+		case c.Path == "/orders" && firstStart == 0 && strings.Contains(string(c.Body), `"start"`):
+			firstStart = w.now
 		case c.Path == "/commit" && elected == 0 && strings.Contains(string(c.Body), `"write":"b/leader"`):
 			elected = w.now
 		}
@@ -78,20 +78,20 @@
 	for _, b := range w.Violations {
 		t.Error(b)
 	}
-	if first == 0 || first-crashed > 3*time.Second+restart+3*time.Second {
-		t.Errorf("first start %v after the crash", first-crashed)
+	if firstStart == 0 || firstStart-crashed > 3*time.Second+restart+3*time.Second {
+		t.Errorf("the first start came %v after the crash", firstStart-crashed)
 	}
-	if n := w.live(); n < before {
+	if n := w.liveTasks(); n < before {
 		t.Errorf("%d tasks of %d are left", n, before)
 	}
 	if n := len(w.Cloud.machines) - rented; n > machines/50 {
-		t.Errorf("%d machines were rented, though all work has a place", n)
+		t.Errorf("%d machines were rented, though all work fits the existing ones", n)
 	}
-	t.Logf("after the crash: claim %v, first start %v, %d reports until then", elected-crashed, first-crashed, storm)
+	t.Logf("after the crash: election %v, first start %v, %d reports until then", elected-crashed, firstStart-crashed, reports)
 }
 
-// BenchmarkReport measures a worker's report in steady operation at fleet size;
-// the stand-in's share (its encoding) is left out.
+// BenchmarkReport measures how long the leader takes for a worker's report in steady
+// operation at fleet size, without the encoding by the stand-in.
 func BenchmarkReport(b *testing.B) {
 	w := fleetWorld(1300)
 	ms, s := w.Machines(), w.nodes[w.Leader()]
@@ -113,9 +113,9 @@
 	}
 }
 
-// BenchmarkTakeover measures all that the processes and stand-ins do from a
-// leader's crash until the next one leads, some three simulated seconds with
-// 10,400 live tasks, and what all processes and stand-ins hold then.
+// BenchmarkTakeover measures the processing time of all processes and stand-ins from a
+// leader's crash until the next one leads, some three simulated seconds with 10,400
+// live tasks, and the heap that they hold then.
 func BenchmarkTakeover(b *testing.B) {
 	w := fleetWorld(1300)
 	b.ReportAllocs()
@@ -126,12 +126,12 @@
 		}
 	}
 	b.ReportMetric(heapMB(), "MB-held")
-	runtime.KeepAlive(w) // else it is gone before it is measured
+	runtime.KeepAlive(w) // keeps the world in the heap until heapMB has measured it
 }
 
-// TestTenTimesTheFleet has ten times as many machines as a fleet has turn up at
-// once, listed and reporting, of which nobody knew: they are worked off within
-// the memory of the controllers, and work that comes meanwhile is done.
+// TestTenTimesTheFleet has ten times as many machines as a large deployment appear at
+// once, listed and reporting, of which no controller knew: the leader returns them
+// without exceeding the controllers' memory, and jobs submitted meanwhile are done.
 func TestTenTimesTheFleet(t *testing.T) {
 	const machines = 13_000
 	w := New(Config{Seed: 72, Nodes: 3, Zones: []string{"a", "b", "c"}, Capacity: 100, Initial: 20, CPUs: 16, GPUs: 4, BootS: 15,
@@ -149,7 +149,7 @@
 	})
 	for w.now < asked+25*time.Second {
 		w.Run(w.now + 5*time.Second)
-		// What the stand-in of the cloud remembers for its lagging lists is left out.
+		// The snapshots that the cloud stand-in keeps for its lagging lists are left out.
 		n := len(w.Cloud.snapshots)
 		w.Cloud.snapshots = append([]snapshot(nil), w.Cloud.snapshots[n-1])
 		most = max(most, heapMB()-before)
@@ -163,9 +163,9 @@
 	if left := len(w.Machines()); left > machines-1000 {
 		t.Errorf("%d of %d machines are still there", left, machines)
 	}
-	// Three controllers and the machines' stand-ins together.
+	// The bound covers three controllers and the machines' stand-ins.
 	if most > 125 {
-		t.Errorf("%.0f MB more are held", most)
+		t.Errorf("the heap grew by %.0f MB", most)
 	}
-	t.Logf("%d machines are left after %v, at most %.0f MB more were held, stand-ins included", len(w.Machines()), w.now-asked, most)
+	t.Logf("%d machines are left after %v, the heap grew by at most %.0f MB, stand-ins included", len(w.Machines()), w.now-asked, most)
 }
--- a/internal/sim/flood_test.go
+++ b/internal/sim/flood_test.go
@@ -8,9 +8,9 @@
 	"brooklb/internal/settings"
 )
 
-// steady submits, from one time to another, jobs of a class at a rate, and returns
-// how many.
-func (w *World) steady(class string, block int, every, from, to time.Duration, job func(i int) Job) int {
+// submitSteadily submits jobs of a class, one in each interval of the given length between two
+// times, and returns how many. Their numbers begin at 100000 times block.
+func (w *World) submitSteadily(class string, block int, every, from, to time.Duration, job func(i int) Job) int {
 	n := 0
 	for at := from; at < to; at += every {
 		d := job(n)
@@ -21,16 +21,16 @@
 	return n
 }
 
-// flood is a day on which one class comes far more often than can be taken.
-type flood struct {
-	name    string
-	nodes   int
-	front   func(w *World) int
-	trouble func(w *World)
-	allDown bool // nobody can be served for a while
+// floodCase describes a run in which jobs of one class arrive faster than they can be accepted.
+type floodCase struct {
+	name        string
+	nodes       int
+	frontNode   func(w *World) int
+	fault       func(w *World)
+	interrupted bool // requests can fail for a while
 }
 
-var floods = []flood{
+var floodCases = []floodCase{
 	{"all", 3, nil, func(*World) {}, false},
 	{"seven", 7, nil, func(*World) {}, false},
 	{"one node", 3, func(*World) int { return 1 }, func(*World) {}, false},
@@ -58,7 +58,7 @@
 	}, true},
 	{"a node is cut off from the state", 3, nil, func(w *World) { w.Cut(w.NodeName(1), "state", 20*time.Second, true) }, true},
 	{"an upgrade", 3, nil, func(w *World) {
-		// Two of three run the older program until they are restarted, one by one.
+		// Two of three run the older version until they are restarted, one by one.
 		for i := range 2 {
 			w.after(time.Duration(10*i)*time.Second, func() {
 				delete(w.OlderNodes, w.NodeName(i))
@@ -75,48 +75,48 @@
 	}, true},
 }
 
-// TestFloods submits far more jobs of one class than can be written. At no time may
-// the controllers together hold more changes than the state service takes, by what
-// each would spend now; other classes are let in soon, and of what was accepted of
-// each class and team all is done.
+// TestFloods submits far more jobs of one class than the state service can write. The
+// controllers' shares of its write rate never add up to more than its limit. Jobs of
+// other classes are accepted quickly, and all accepted jobs of each class and team
+// are done.
 func TestFloods(t *testing.T) {
-	for i, f := range floods {
+	for i, f := range floodCases {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
 			w := worldOf(Config{Seed: uint64(500 + i), Nodes: f.nodes, WriteRPS: 30})
-			if f.front != nil {
-				w.UserNode = func() int { return f.front(w) }
+			if f.frontNode != nil {
+				w.UserNode = func() int { return f.frontNode(w) }
 			}
 			w.SubmitTimeout = time.Minute
 			if f.name == "an upgrade" {
 				w.OlderNodes = map[string]bool{w.NodeName(0): true, w.NodeName(1): true}
 			}
 			const from, to = 30 * time.Second, 70 * time.Second
-			w.steady("flood", 1, 33*time.Millisecond, from, to, func(i int) Job {
+			w.submitSteadily("flood", 1, 33*time.Millisecond, from, to, func(i int) Job {
 				return Job{Kind: "sweep", Team: "free", Tasks: 3, CPUs: 1, RunS: 5, Spot: true, Urgency: "idle"}
 			})
-			w.steady("steady", 2, 3*time.Second, 5*time.Second, 120*time.Second, func(i int) Job {
+			w.submitSteadily("steady", 2, 3*time.Second, 5*time.Second, 120*time.Second, func(i int) Job {
 				return Job{Kind: "sweep", Team: "red", Tasks: 4, CPUs: 1, RunS: 8, Spot: true}
 			})
-			w.steady("urgent", 3, 5*time.Second, 5*time.Second, 120*time.Second, func(i int) Job {
+			w.submitSteadily("urgent", 3, 5*time.Second, 5*time.Second, 120*time.Second, func(i int) Job {
 				return Job{Kind: "ensemble", Team: "blue", Tasks: 2, CPUs: 8, RunS: 10, Spot: true, Urgency: "high"}
 			})
-			w.At(50*time.Second, func() { f.trouble(w) })
-			most, limit, quiet := 0.0, 0.95*30, time.Duration(0)
+			w.At(50*time.Second, func() { f.fault(w) })
+			mostHeld, limit, quiet := 0.0, 0.95*30, time.Duration(0)
 			for w.now < 240*time.Second {
 				w.Run(w.now + 50*time.Millisecond)
-				most = max(most, w.Shares())
+				mostHeld = max(mostHeld, w.Shares())
 				if l := w.Leader(); l >= 0 {
 					quiet = max(quiet, w.nodes[l].node.Quiet())
 				}
 			}
-			if most > limit+1e-6 {
-				t.Errorf("the controllers hold up to %.2f changes a second, there are %.2f", most, limit)
+			if mostHeld > limit+1e-6 {
+				t.Errorf("the controllers' shares add up to %.2f changes a second, the limit is %.2f", mostHeld, limit)
 			}
-			if quiet > 3*time.Second && !f.allDown {
+			if quiet > 3*time.Second && !f.interrupted {
 				t.Errorf("starts or ends waited for %v while nothing was written", quiet)
 			}
-			w.noneBroken(t)
+			w.checkNoBrokenRules(t)
 			if u := w.Unfinished(); len(u) > 0 {
 				t.Errorf("%d unfinished: %v", len(u), u[:min(3, len(u))])
 			}
@@ -129,9 +129,9 @@
 					t.Errorf("%s: %d of %d done", k, c[2], c[0])
 				}
 			}
-			// The first seconds have no leader, and the trouble speaks for itself.
+			// The first seconds have no leader, and the fault may interrupt service.
 			end := to
-			if f.allDown {
+			if f.interrupted {
 				end = 50 * time.Second
 			}
 			for _, class := range []string{"steady", "urgent"} {
@@ -139,26 +139,26 @@
 					t.Errorf("%s jobs were accepted after up to %v", class, d)
 				}
 			}
-			t.Logf("%v; at most %.1f of %.1f changes a second held; %d times told to come back; quiet for %v", w.Served(), most, limit, w.RetryLater, quiet)
+			t.Logf("%v; shares of at most %.1f of %.1f changes a second; %d submissions deferred; no writes for up to %v", w.Served(), mostHeld, limit, w.RetryLater, quiet)
 		})
 	}
 }
 
 // TestStarvation has more urgent work than the machines can do, for minutes, and a
-// change of leader in it: at least half of the jobs of each class of each team are
-// served, as long as their small part of the machines suffices for that. Without
-// floors they are not.
+// change of leader. The floors reserve a part of the machines for each other class of
+// each team: at least half of their jobs are done, as long as that part suffices.
+// Without floors fewer are done.
 func TestStarvation(t *testing.T) {
 	t.Parallel()
-	for _, without := range []bool{false, true} {
+	for _, noFloors := range []bool{false, true} {
 		least := 1.0
 		for seed := range uint64(2) {
-			w := worldOf(Config{Seed: 600 + seed, Nodes: 3, NoMinShares: without, Objectives: []settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 20, Share: 0.9}}})
-			w.steady("urgent", 3, 400*time.Millisecond, 10*time.Second, 320*time.Second, func(i int) Job {
+			w := worldOf(Config{Seed: 600 + seed, Nodes: 3, NoMinShares: noFloors, Objectives: []settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 20, Share: 0.9}}})
+			w.submitSteadily("urgent", 3, 400*time.Millisecond, 10*time.Second, 320*time.Second, func(i int) Job {
 				return Job{Kind: "ensemble", Team: "free", Tasks: 1, CPUs: 16, RunS: 60, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 1}
 			})
 			for k, team := range []string{"free", "red"} {
-				w.steady("slow", 4+k, 6*time.Second, 60*time.Second, 280*time.Second, func(i int) Job {
+				w.submitSteadily("slow", 4+k, 6*time.Second, 60*time.Second, 280*time.Second, func(i int) Job {
 					return Job{Kind: "sweep", Team: team, Tasks: 2 + 5*(i%4), CPUs: 2, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 1}
 				})
 			}
@@ -167,18 +167,18 @@
 					w.Crash(l, 5*time.Second)
 				}
 			})
-			w.Run(320 * time.Second) // the flood is on still
-			w.noneBroken(t)
+			w.Run(320 * time.Second) // the urgent work still arrives
+			w.checkNoBrokenRules(t)
 			for k, c := range w.Served() {
 				share := float64(c[2]) / float64(c[0])
 				if k != "urgent of free" {
 					least = min(least, share)
 				}
-				t.Logf("floors %v, seed %d: %s: %d of %d done", !without, seed, k, c[2], c[0])
+				t.Logf("floors %v, seed %d: %s: %d of %d done", !noFloors, seed, k, c[2], c[0])
 			}
 		}
-		if !without && least < 0.5 || without && least >= 0.5 {
-			t.Errorf("floors %v: the least that was done of a class was %.2f", !without, least)
+		if !noFloors && least < 0.5 || noFloors && least >= 0.5 {
+			t.Errorf("floors %v: the smallest share of a class that was done is %.2f", !noFloors, least)
 		}
 	}
 }
--- a/internal/sim/forward_test.go
+++ b/internal/sim/forward_test.go
@@ -55,7 +55,7 @@
 			if s%2 == 0 {
 				w.drawMeetings()
 				w.Run(1500 * time.Second)
-				w.verdict(t, 25)
+				w.checkOutcome(t, 25)
 			} else {
 				w.drawFurther()
 				w.Run(1500 * time.Second)
@@ -74,11 +74,11 @@
 			w, p := spreadWorld(80000 + s)
 			w.Workload(60, 200*time.Second)
 			for range 8 {
-				w.At(w.randomSecs(5, 300), w.trouble)
+				w.At(w.randomSecs(5, 300), w.injectFault)
 			}
 			w.calmAfter(400 * time.Second)
 			w.Run(1500 * time.Second)
-			w.verdict(t, 25)
+			w.checkOutcome(t, 25)
 			p.check(t)
 		})
 	}
@@ -136,7 +136,7 @@
 				}
 				w.calmAfter(330 * time.Second)
 				w.Run(1200 * time.Second)
-				w.verdict(t, 20)
+				w.checkOutcome(t, 20)
 				p.check(t)
 				if trouble.calm && w.KilledByLease > 0 {
 					t.Errorf("%d tasks were killed by their worker's lease", w.KilledByLease)
@@ -174,7 +174,7 @@
 			})
 			w.calmAfter(260 * time.Second)
 			w.Run(1200 * time.Second)
-			w.verdict(t, 20)
+			w.checkOutcome(t, 20)
 		})
 	}
 }
@@ -184,7 +184,7 @@
 func TestSpreadEvenly(t *testing.T) {
 	w := New(Config{Seed: 5, Nodes: 5, Zones: []string{"a", "b", "c"}, Capacity: 300, Initial: 300, CPUs: 16, GPUs: 4, BootS: 15, Sockets: 400,
 		RPS: 250, WriteRPS: 60, CloudRPS: 6, Teams: []settings.Team{{Name: "free"}}})
-	w.steady("work", 3, 2*time.Second, 2*time.Second, 100*time.Second, func(int) Job {
+	w.submitSteadily("work", 3, 2*time.Second, 2*time.Second, 100*time.Second, func(int) Job {
 		return Job{Kind: "sweep", Team: "free", Tasks: 30, CPUs: 8, RunS: 60}
 	})
 	at := make([]int, len(w.nodes))
--- a/internal/sim/further_test.go
+++ b/internal/sim/further_test.go
@@ -49,7 +49,7 @@
 			w.State.Outage(min(d, 70*time.Second))
 		}
 		for k := range 10 {
-			w.after(time.Duration(k)*12*time.Second, func() { w.Crash(max(0, w.Leader()), w.soon()) })
+			w.after(time.Duration(k)*12*time.Second, func() { w.Crash(max(0, w.Leader()), w.shortPause()) })
 		}
 	case 7: // all away for longer than a lease; back at once, one by one, one alone for a minute
 		away, how := w.lease()+w.randomSecs(1, 20), r.IntN(3)
@@ -64,7 +64,7 @@
 		w.after(w.randomSecs(0, 0.2), func() { w.CancelRunning(8, hang) })
 		w.after(w.randomSecs(0.8, 1.2), func() { w.State.Outage(w.cancelDeadline() + w.randomSecs(-10, 20)) })
 		if r.IntN(3) == 0 {
-			w.after(w.randomSecs(0.2, 1.5), func() { w.Crash(r.IntN(n), w.soon()) })
+			w.after(w.randomSecs(0.2, 1.5), func() { w.Crash(r.IntN(n), w.shortPause()) })
 		}
 		if r.IntN(3) == 0 {
 			w.CutPeers(l, d, r.IntN(2) == 0)
@@ -79,7 +79,7 @@
 			late[from] = w.randomSecs(3, 25)
 			return late[from]
 		}
-		w.after(w.randomSecs(0, 3), func() { w.Crash(max(0, w.Leader()), w.soon()) })
+		w.after(w.randomSecs(0, 3), func() { w.Crash(max(0, w.Leader()), w.shortPause()) })
 	case 11: // a zone loses all its machines, or half of them
 		zone, most := w.cfg.Zones[r.IntN(len(w.cfg.Zones))], 0.5+0.5*float64(r.IntN(2))
 		for _, m := range w.Machines() {
@@ -129,7 +129,7 @@
 
 func (w *World) furtherVerdict(t *testing.T) {
 	t.Helper()
-	w.verdict(t, 10)
+	w.checkOutcome(t, 10)
 	final := 0 // many are cancelled on such days, but each has its final word
 	for _, j := range w.jobs {
 		if j.reportedDone || j.cancelledAt > 0 {
--- a/internal/sim/guards_test.go
+++ b/internal/sim/guards_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("held %q, on %q: the day didn't come to what it should show", held, on)
 	}
 	w.Run(300 * time.Second)
-	w.verdict(t, 1)
+	w.checkOutcome(t, 1)
 }
 
 // TestCancelBeforeStart is the day that shows what the condition on a job's
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -10,52 +10,52 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// jobModel is what a job may be to its users: each operation takes effect at one
-// moment between its call and its answer, and one without an answer at any later
-// moment, or never.
+// jobModel is the sequential model of a job as its users see it. Each operation takes
+// effect at one moment between its call and its answer; one without an answer takes
+// effect at any later moment, or never.
 var jobModel = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
+		byJob := map[string][]porcupine.Operation{}
 		var ids []string
 		for _, o := range h {
 			id := o.Input.(Op).Job
-			if by[id] == nil {
+			if byJob[id] == nil {
 				ids = append(ids, id)
 			}
-			by[id] = append(by[id], o)
+			byJob[id] = append(byJob[id], o)
 		}
 		out := make([][]porcupine.Operation, 0, len(ids))
 		for _, id := range ids {
-			out = append(out, by[id])
+			out = append(out, byJob[id])
 		}
 		return out
 	},
 	Init: func() any { return "none" },
 	Step: func(state, input, output any) (bool, any) {
-		is, op, told := state.(string), input.(Op), output.(string)
-		next := is
+		current, op, answered := state.(string), input.(Op), output.(string)
+		next := current
 		switch op.Kind {
 		case OpSubmit:
-			if is == "none" {
+			if current == "none" {
 				next = "open"
 			}
 		case OpCancel:
-			if is == "open" {
+			if current == "open" {
 				next = "withdrawn"
 			}
 		case OpComplete:
-			if is == "open" {
+			if current == "open" {
 				next = "done"
 			}
 			return true, next
 		}
-		return told == "" || told == next, next
+		return answered == "" || answered == next, next
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestHistories proves of troubled days that what users were told of each job is
-// linearizable: submissions, their repetitions, polls and cancellations, at all nodes.
+// TestHistories checks that the answers to users about each job are linearizable under
+// random faults: submissions, their repetitions, polls and cancellations, at all nodes.
 func TestHistories(t *testing.T) {
 	ops, unknown := 0, 0
 	for _, seed := range seeds(t, 12) {
@@ -64,7 +64,7 @@
 		w.GarbageOneIn, w.State.SlowOneIn = 200, 20
 		w.Workload(25, 120*time.Second)
 		w.OnSend = func(from string, c actor.Call) {
-			// Users cancel while the end of their job is on its way to the state service.
+			// Users cancel while the record of their job's end is on its way to the state service.
 			if c.Path != "/commit" || !strings.HasPrefix(from, "n") || !strings.Contains(string(c.Body), `"f":"done"`) {
 				return
 			}
@@ -100,7 +100,7 @@
 			})
 		}
 		w.Run(330 * time.Second)
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 		n, u := w.linearizable(t, seed)
 		ops, unknown = ops+n, unknown+u
 	}
--- a/internal/sim/late_test.go
+++ b/internal/sim/late_test.go
@@ -87,7 +87,7 @@
 				}
 				w.FaultsEndAt = 200 * time.Second
 				w.Run(700 * time.Second)
-				w.verdict(t, 10)
+				w.checkOutcome(t, 10)
 			}
 			t.Logf("%d were late or unanswered, %d came a second time", late, twice)
 			if late+twice < 3 {
--- a/internal/sim/limits_test.go
+++ b/internal/sim/limits_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestLimitAcrossLeaders has a team with more work than its limit while machines are lost
-// and come back, orders come late, and leaders crash, are paused and follow one another:
-// what is placed by one leader while another's orders are under way counts for both.
-// After each step the checker sums what the team's tasks use on machines.
+// and come back, commands arrive late, and leaders crash, are paused and change often. A
+// leader must also count tasks whose commands from an earlier leader are still in flight.
+// The test sums what the team's tasks use on machines every 250 ms.
 func TestLimitAcrossLeaders(t *testing.T) {
 	most, changes := 0.0, 0
 	for _, seed := range seeds(t, 6) {
@@ -46,7 +46,7 @@
 							w.Cut(w.NodeName(l), m.Name, w.randomSecs(5, 60), true)
 						}
 					}
-				default: // lost with their tasks, and back in a later session
+				default: // lost with their tasks, and back in a new session
 					for _, m := range w.Machines() {
 						if m.Tasks() > 0 && w.rng.IntN(2) == 0 {
 							m.Hang(w.randomSecs(35, 50))
@@ -61,8 +61,8 @@
 			use := 0.0
 			for _, m := range w.Cloud.machines {
 				if sessions[m] > 0 && m.session > sessions[m] && w.rng.IntN(2) == 0 {
-					// Its tasks are gone, the leader has placed others, and is gone, too,
-					// before that is written.
+					// The machine's tasks are gone and the leader places others; it may crash
+					// before these placements are written.
 					w.after(w.randomSecs(0.2, 4), func() { w.Crash(max(0, w.Leader()), w.randomSecs(1, 3)) })
 				}
 				sessions[m] = m.session
@@ -80,7 +80,7 @@
 				leader, changes = l, changes+1
 			}
 		}
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 		if u := w.Unfinished(); len(u) > 0 {
 			t.Errorf("seed %d: unfinished %v", seed, u)
 		}
--- a/internal/sim/list_test.go
+++ b/internal/sim/list_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("%d machines rented: the day didn't come to what it should show", rented)
 	}
 	w.Run(600 * time.Second)
-	w.verdict(t, 1)
+	w.checkOutcome(t, 1)
 }
 
 // TestListOutOfOrder guards against a list whose pages have the machines in no
@@ -60,5 +60,5 @@
 	}
 	w.Cloud.machines["vm-000012"].Fail() // seen by the list alone, once it ends again
 	w.Run(600 * time.Second)
-	w.verdict(t, 40)
+	w.checkOutcome(t, 40)
 }
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -43,14 +43,14 @@
 		w.after(w.randomSecs(0, 4), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 8)) })
 	case 7: // handed over and back, all end, one returns
 		for k := range 1 + r.IntN(3) {
-			w.after(time.Duration(k)*w.randomSecs(0.1, 2), func() { w.Crash(max(0, w.Leader()), w.soon()) })
+			w.after(time.Duration(k)*w.randomSecs(0.1, 2), func() { w.Crash(max(0, w.Leader()), w.shortPause()) })
 		}
 		w.after(w.randomSecs(0, 3), func() {
 			first := r.IntN(n)
 			for i := range n {
 				back := w.randomSecs(2, 12)
 				if i == first {
-					back = w.soon()
+					back = w.shortPause()
 				}
 				w.Crash(i, back)
 			}
@@ -68,7 +68,7 @@
 		w.StallOneIn = 60
 		w.after(d, func() { w.StallOneIn = old })
 	default:
-		w.trouble()
+		w.injectFault()
 	}
 }
 
@@ -81,7 +81,7 @@
 // copied messages; each third has seven controllers.
 func meetingsWorld(base, seed uint64) *World {
 	if seed%3 == 0 {
-		return withMeetings(seven(base + seed))
+		return withMeetings(sevenNodeWorld(base + seed))
 	}
 	return withMeetings(world(base + seed))
 }
@@ -108,7 +108,7 @@
 			w := meetingsWorld(20000, s)
 			w.drawMeetings()
 			w.Run(1500 * time.Second)
-			w.verdict(t, 25)
+			w.checkOutcome(t, 25)
 		})
 	}
 }
@@ -186,7 +186,7 @@
 	sent := 0
 	for _, seed := range seeds(t, 6) {
 		w := worldOf(Config{Seed: 950 + seed, Nodes: 3})
-		w.steady("steady", 1, 500*time.Millisecond, 5*time.Second, 200*time.Second, func(int) Job {
+		w.submitSteadily("steady", 1, 500*time.Millisecond, 5*time.Second, 200*time.Second, func(int) Job {
 			return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 5, RunS: 5, ImageGB: 0.1, Image: "i"}
 		})
 		w.At(40*time.Second, func() {
@@ -210,7 +210,7 @@
 		}
 		sent += len(starts)
 		w.Run(400 * time.Second)
-		w.verdict(t, 250)
+		w.checkOutcome(t, 250)
 	}
 	if most := 25 * len(seeds(t, 6)); sent > most {
 		t.Errorf("%d starts were sent to machines that hear nothing, more than %d", sent, most)
@@ -249,7 +249,7 @@
 			})
 		}
 		w.Run(900 * time.Second)
-		w.verdict(t, 25)
+		w.checkOutcome(t, 25)
 		for _, j := range w.jobs {
 			starts += j.starts
 		}
--- a/internal/sim/mistake_test.go
+++ b/internal/sim/mistake_test.go
@@ -53,7 +53,7 @@
 			w.Run(w.Now() + time.Second)
 			w.FixJob("j-2")
 			w.Run(1500 * time.Second)
-			w.verdict(t, 2)
+			w.checkOutcome(t, 2)
 		})
 	}
 }
@@ -71,7 +71,7 @@
 	name := ""
 	w.At(2*time.Second, func() { name = w.Machines()[2].Name })
 	w.Run(300 * time.Second)
-	w.verdict(t, 8)
+	w.checkOutcome(t, 8)
 	for _, m := range w.Cloud.machines {
 		if m.Name == name && !m.deleted {
 			t.Errorf("%s is kept", name)
--- a/internal/sim/mute_test.go
+++ b/internal/sim/mute_test.go
@@ -35,7 +35,7 @@
 			for _, seed := range seeds(t, 2) {
 				w := worldOf(Config{Seed: 960 + seed, Nodes: 3})
 				w.checkCancelled()
-				w.steady("steady", 1, time.Second, 5*time.Second, 260*time.Second, func(int) Job {
+				w.submitSteadily("steady", 1, time.Second, 5*time.Second, 260*time.Second, func(int) Job {
 					return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 5, RunS: 8, Spot: true}
 				})
 				w.At(5*time.Second, func() {
@@ -73,7 +73,7 @@
 					}
 				}
 				w.Run(700 * time.Second)
-				w.verdict(t, 200)
+				w.checkOutcome(t, 200)
 				t.Logf("seed %d: %d tasks on mute machines; %d starts there, %d of them in the first 20 s, %d killed by leases, %d of some 120 jobs done meanwhile; a cancelled task was there for %v, %d machine seconds",
 					seed, on, muteStarts, first, w.KilledByLease, done, w.LongestCancelled.Round(100*time.Millisecond), int(w.Cloud.Cost))
 				// After a change of leader it is asked for its status, and counts as heard for
--- a/internal/sim/odd_test.go
+++ b/internal/sim/odd_test.go
@@ -51,7 +51,7 @@
 		}
 		w.UnusualRequests(150 * time.Second)
 		w.Run(900 * time.Second)
-		w.verdict(t, 15)
+		w.checkOutcome(t, 15)
 	}
 }
 
--- a/internal/sim/outage_test.go
+++ b/internal/sim/outage_test.go
@@ -16,7 +16,7 @@
 	for _, seed := range seeds(t, 40) {
 		w := world(30000 + seed)
 		if seed%4 == 0 {
-			w = seven(30000 + seed)
+			w = sevenNodeWorld(30000 + seed)
 		}
 		r, n := w.rng, len(w.nodes)
 		w.checkCancelled()
@@ -102,6 +102,6 @@
 			t.Errorf("seed %d: no lease ran out: the day didn't come to what it should show", seed)
 		}
 		w.Run(500 * time.Second)
-		w.verdict(t, 1)
+		w.checkOutcome(t, 1)
 	}
 }
--- a/internal/sim/refused_test.go
+++ b/internal/sim/refused_test.go
@@ -247,7 +247,7 @@
 					}
 				}
 				w.Run(300 * time.Second)
-				w.noneBroken(t)
+				w.checkNoBrokenRules(t)
 				longest = max(longest, w.LongestCancelled)
 			}
 			t.Logf("%d tasks on hanging machines, the last was gone after %v", on, longest.Round(100*time.Millisecond))
--- a/internal/sim/restore_test.go
+++ b/internal/sim/restore_test.go
@@ -10,10 +10,10 @@
 	snap "brooklb/internal/snapshot"
 )
 
-// TestRestore loses the state service with all that it had, a minute after a snapshot
-// was taken, while tasks that the snapshot knows nothing of run on. The restored
-// cluster runs no task twice, its tokens are above all that workers have seen, and all
-// jobs of the snapshot are done in the end. The restore is interrupted on its way.
+// TestRestore wipes the state service 5 to 60 s after a snapshot was taken, while tasks
+// that are not in the snapshot go on running, and restores the snapshot with interruptions.
+// The restored cluster runs no task twice, its tokens are higher than any that workers have
+// seen, and all jobs of the snapshot are done in the end.
 func TestRestore(t *testing.T) {
 	for _, seed := range seeds(t, 5) {
 		w := worldOf(Config{Seed: 4000 + seed, Nodes: 3})
@@ -27,12 +27,12 @@
 		if err := s.Write(&file); err != nil {
 			t.Fatal(err)
 		}
-		fs, n := snap.Verify(s, w.cfg.Teams)
-		for _, f := range fs {
+		findings, counts := snap.Verify(s, w.cfg.Teams)
+		for _, f := range findings {
 			if f.Transient {
 				continue
 			}
-			t.Errorf("seed %d: a live state has %+v", seed, f)
+			t.Errorf("seed %d: verifying the snapshot of a live state found %+v", seed, f)
 		}
 		w.Run(75*time.Second + w.randomSecs(5, 60))
 		token := uint64(0)
@@ -46,11 +46,11 @@
 		if s, err = snap.Read(&file); err != nil {
 			t.Fatal(err)
 		}
-		broken := 0
-		ask := asker(func(method, path string, body []byte) (int, []byte, error) {
+		lostWrites := 0
+		ask := askFunc(func(method, path string, body []byte) (int, []byte, error) {
 			if method == "POST" && w.rng.IntN(4) == 0 {
-				if broken++; w.rng.IntN(2) == 0 {
-					_, _, _ = w.State.Ask(method, path, body) // applied, but nobody hears of it
+				if lostWrites++; w.rng.IntN(2) == 0 {
+					_, _, _ = w.State.Ask(method, path, body) // applied, but its answer is lost
 				}
 				return 0, nil, errors.New("no answer")
 			}
@@ -69,12 +69,12 @@
 		if err := snap.Restore(w.State, &other, 8, nil); !errors.Is(err, snap.ErrNotEmpty) {
 			t.Errorf("a restore over live state got %v", err)
 		}
-		back, err := snap.Fetch(w.State, time.Now)
+		fetched, err := snap.Fetch(w.State, time.Now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		added, removed, changed := snap.Diff(s, back)
-		if len(changed) > 0 || len(removed) > 1 || len(added) > 1 { // the leader's key, the base
+		added, removed, changed := snap.Diff(s, fetched)
+		if len(changed) > 0 || len(removed) > 1 || len(added) > 1 { // the leader's key and the base key may differ
 			t.Errorf("seed %d: restored with %v added, %v removed, %v changed", seed, added, removed, changed)
 		}
 		restored := w.now
@@ -82,11 +82,11 @@
 		started := w.Started
 		w.Run(restored + 60*time.Second)
 		if err := snap.Restore(w.State, s, 8, nil); !errors.Is(err, snap.ErrNotEmpty) {
-			t.Errorf("a second restore over a cluster that runs got %v", err)
+			t.Errorf("a second restore over a running cluster got %v", err)
 		}
 		w.Run(restored + 700*time.Second)
 		for _, b := range w.Violations {
-			// What users were told after the snapshot is lost, nothing can mend that.
+			// What happened after the snapshot is lost, so a job can return to an earlier state.
 			if !strings.Contains(b, " went_back:") && !strings.Contains(b, " ran_cancelled:") {
 				t.Errorf("seed %d: %s", seed, b)
 			}
@@ -99,12 +99,13 @@
 				t.Errorf("seed %d: %s obeys token %d, it had seen %d", seed, m.Name, m.token, token)
 			}
 		}
-		t.Logf("seed %d: %d keys, %d tasks placed in it, %d writes lost on the way, %d tasks started until then, %d after", seed, n.Keys, n.Placed, broken, started, w.Started-started)
+		t.Logf("seed %d: %d keys, %d tasks placed in it, %d writes without an answer, %d tasks started until 40 s after the restore, %d later", seed, counts.Keys, counts.Placed, lostWrites, started, w.Started-started)
 	}
 }
 
-type asker func(method, path string, body []byte) (int, []byte, error)
+// askFunc is a function that implements the snapshot package's access to the state service.
+type askFunc func(method, path string, body []byte) (int, []byte, error)
 
-func (f asker) Ask(method, path string, body []byte) (int, []byte, error) {
+func (f askFunc) Ask(method, path string, body []byte) (int, []byte, error) {
 	return f(method, path, body)
 }
--- a/internal/sim/rollout_measure_test.go
+++ b/internal/sim/rollout_measure_test.go
@@ -19,8 +19,8 @@
 	for seed := range uint64(n) {
 		w := serviceWorld(t, Config{Seed: 2000 + seed}, 12)
 		late := 5 + w.rng.IntN(40)
-		w.mustRollout(t, Version{Service: "shop", Job: next("j-2", fmt.Sprintf("web:late=%d", late), 12), From: "j-1", Surge: 1 + w.rng.IntN(3), Unavailable: w.rng.IntN(2),
-			Plan: map[string]any{"steps": []any{1, "25%", "50%"}, "bake_s": 8.0, "window_s": 30.0}, Health: health})
+		w.mustRollout(t, Version{Service: "shop", Job: versionJob("j-2", fmt.Sprintf("web:late=%d", late), 12), From: "j-1", Surge: 1 + w.rng.IntN(3), Unavailable: w.rng.IntN(2),
+			Plan: map[string]any{"steps": []any{1, "25%", "50%"}, "bake_s": 8.0, "window_s": 30.0}, Health: healthCheck})
 		before := w.State.Changes
 		begun := map[*runner]bool{}
 		state := ""
@@ -47,7 +47,7 @@
 		if d := w.services["shop"].LastHalted["j-1"] - j.firstUnhealthy; d > 10*time.Second {
 			t.Errorf("seed %d: an old instance was stopped %v after the first bad answer", seed, d)
 		}
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 	}
 	t.Logf("%d roll-outs: from the first bad answer to the last replacement p50 %d, p99 %d ms; to the old version back p50 %d, p90 %d, p99 %d ms",
 		n, toStop.ValueAtQuantile(50), toStop.ValueAtQuantile(99), toBack.ValueAtQuantile(50), toBack.ValueAtQuantile(90), toBack.ValueAtQuantile(99))
--- a/internal/sim/rollout_test.go
+++ b/internal/sim/rollout_test.go
@@ -9,9 +9,9 @@
 	"brooklb/internal/actor"
 )
 
-var health = map[string]any{"port": 8000, "per_task": true, "path": "/healthz", "interval_s": 2.0, "timeout_s": 1.0, "passes": 2, "fails": 3}
+var healthCheck = map[string]any{"port": 8000, "per_task": true, "path": "/healthz", "interval_s": 2.0, "timeout_s": 1.0, "passes": 2, "fails": 3}
 
-// serviceWorld has a service of so many instances that run and serve.
+// serviceWorld returns a world with a service whose given number of instances run and serve.
 func serviceWorld(t testing.TB, c Config, tasks int) *World {
 	t.Helper()
 	c.Nodes = 3
@@ -30,17 +30,19 @@
 	t.Helper()
 	w.Rollout(v, func(status int, body []byte) {
 		if status != 201 && status != 200 {
-			t.Errorf("the roll-out got %d %s", status, body)
+			t.Errorf("the roll-out request got %d %s", status, body)
 		}
 	})
 }
 
-func next(id, image string, tasks int) Job {
+// versionJob returns the job of a new version of the service.
+func versionJob(id, image string, tasks int) Job {
 	return Job{ID: id, Team: "free", Image: image, ImageGB: 0.1, Tasks: tasks, CPUs: 2}
 }
 
-// until runs the world until the n-th roll-out of the service is over.
-func (w *World) until(name string, n int, most time.Duration) (state, why string) {
+// awaitRollout runs the world until the n-th roll-out of the service is over, and returns how
+// it ended and why.
+func (w *World) awaitRollout(name string, n int, most time.Duration) (state, why string) {
 	for end := w.now + most; w.now < end; {
 		w.Run(w.now + 500*time.Millisecond)
 		if state, why, _ = w.PastRollout(name, n); state != "" {
@@ -54,20 +56,21 @@
 	return "none", ""
 }
 
-func (w *World) noneBroken(t testing.TB) {
+// checkNoBrokenRules fails the test for each rule that the world found broken.
+func (w *World) checkNoBrokenRules(t testing.TB) {
 	t.Helper()
 	for _, b := range w.Violations {
 		t.Error(b)
 	}
 }
 
-// TestRollout rolls a good version out, in steps, and one that fails in each of the
-// ways that checks can tell: it goes back by itself, and no more instances than the
-// step's were touched.
+// TestRollout rolls out, in steps, a good version and versions that fail in each of the
+// ways that health checks detect. A failing version is rolled back automatically, and
+// no more instances of it start than the step allows.
 func TestRollout(t *testing.T) {
 	for _, c := range []struct {
 		image, state, why string
-		touched           int // instances of the new version at most
+		started           int // most instances of the new version at a time
 	}{
 		{"web:good", "done", "", 10},
 		{"web:bad", "rolled back", "answered 500", 2},
@@ -82,11 +85,11 @@
 		w := serviceWorld(t, Config{Seed: 81}, 10)
 		before := w.State.Changes
 		h := map[string]any{}
-		for k, v := range health {
+		for k, v := range healthCheck {
 			h[k] = v
 		}
 		h["timeout_s"], h["slow_s"] = 1.8, 0.5
-		w.mustRollout(t, Version{Service: "shop", Job: next("j-2", c.image, 10), From: "j-1", Surge: 1,
+		w.mustRollout(t, Version{Service: "shop", Job: versionJob("j-2", c.image, 10), From: "j-1", Surge: 1,
 			Plan: map[string]any{"steps": []any{2, "50%"}, "bake_s": 12.0, "window_s": 20.0}, Health: h})
 		most := 0
 		var state, why string
@@ -101,8 +104,8 @@
 			most = max(most, n)
 			state, why, _ = w.PastRollout("shop", 1)
 		}
-		if state != c.state || !strings.Contains(why, c.why) || most > c.touched {
-			t.Errorf("%s: %q because %q, %d new instances at most", c.image, state, why, most)
+		if state != c.state || !strings.Contains(why, c.why) || most > c.started {
+			t.Errorf("%s: %q because %q, up to %d new instances", c.image, state, why, most)
 		}
 		w.Run(w.now + 20*time.Second)
 		good, other := "j-1", "j-2"
@@ -110,20 +113,21 @@
 			good, other = other, good
 		}
 		if w.HealthyInstances(good) != 10 || len(w.services["shop"].instances(w)) != 10 {
-			t.Errorf("%s: %d instances of %s serve, %d are there", c.image, w.HealthyInstances(good), good, len(w.services["shop"].instances(w)))
+			t.Errorf("%s: %d instances of %s serve, %d exist", c.image, w.HealthyInstances(good), good, len(w.services["shop"].instances(w)))
 		}
 		_ = other
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 		t.Logf("%-12s %-12s after %v, %d new instances, %d changes: %s", c.image, state, w.now, most, w.State.Changes-before, why)
 	}
 }
 
-// TestRolloutCrashes crashes the leader around every write of a roll-out, before
-// the state service has it and between it and its effect, and once all controllers.
+// TestRolloutCrashes crashes the leader, or all controllers, around every second write
+// of a roll-out: before the state service has received it, and 8 ms later, between the
+// write and its effect.
 func TestRolloutCrashes(t *testing.T) {
 	for _, image := range []string{"web:good", "web:late=25"} {
 		for _, all := range []bool{false, true} {
-			for _, late := range []time.Duration{0, 8 * time.Millisecond} {
+			for _, delay := range []time.Duration{0, 8 * time.Millisecond} {
 				w := serviceWorld(t, Config{Seed: 82}, 6)
 				writes, crashed := 0, 0
 				w.OnSend = func(from string, c actor.Call) {
@@ -133,7 +137,7 @@
 					writes++
 					if writes%2 == 0 && crashed < 12 {
 						crashed++
-						w.after(late, func() {
+						w.after(delay, func() {
 							for i := range w.nodes {
 								if all || w.nodes[i].host == from {
 									w.Crash(i, 2*time.Second)
@@ -142,22 +146,22 @@
 						})
 					}
 				}
-				w.mustRollout(t, Version{Service: "shop", Job: next("j-2", image, 6), From: "j-1", Surge: 1,
-					Plan: map[string]any{"steps": []any{1, 3}, "bake_s": 5.0, "window_s": 10.0}, Health: health})
-				state, why := w.until("shop", 1, 20*time.Minute)
+				w.mustRollout(t, Version{Service: "shop", Job: versionJob("j-2", image, 6), From: "j-1", Surge: 1,
+					Plan: map[string]any{"steps": []any{1, 3}, "bake_s": 5.0, "window_s": 10.0}, Health: healthCheck})
+				state, why := w.awaitRollout("shop", 1, 20*time.Minute)
 				want, good := "done", "j-2"
 				if image != "web:good" {
 					want, good = "rolled back", "j-1"
 				}
 				if state != want {
-					t.Errorf("%s, all %v, %v: %q because %q", image, all, late, state, why)
+					t.Errorf("%s, all %v, %v: %q because %q", image, all, delay, state, why)
 				}
 				w.OnSend = nil
 				w.Run(w.now + 60*time.Second)
 				if n := w.HealthyInstances(good); n != 6 || len(w.services["shop"].instances(w)) != 6 {
-					t.Errorf("%s, all %v, %v: %d serve, %d are there", image, all, late, n, len(w.services["shop"].instances(w)))
+					t.Errorf("%s, all %v, %v: %d instances serve, %d exist", image, all, delay, n, len(w.services["shop"].instances(w)))
 				}
-				w.noneBroken(t)
+				w.checkNoBrokenRules(t)
 				if crashed < 3 {
 					t.Errorf("only %d crashes", crashed)
 				}
@@ -166,8 +170,8 @@
 	}
 }
 
-// TestRolloutTroubles are the other failures, one by one.
-func TestRolloutTroubles(t *testing.T) {
+// TestRolloutFaults rolls out a version under one kind of fault at a time.
+func TestRolloutFaults(t *testing.T) {
 	plan := map[string]any{"steps": []any{1, "50%"}, "bake_s": 5.0, "window_s": 10.0}
 	roll := func(t *testing.T, w *World, image string, extra map[string]any) {
 		p := map[string]any{}
@@ -177,16 +181,16 @@
 		for k, v := range extra {
 			p[k] = v
 		}
-		w.mustRollout(t, Version{Service: "shop", Job: next("j-2", image, 6), From: "j-1", Surge: 1, Plan: p, Health: health})
+		w.mustRollout(t, Version{Service: "shop", Job: versionJob("j-2", image, 6), From: "j-1", Surge: 1, Plan: p, Health: healthCheck})
 	}
 	expect := func(t *testing.T, w *World, n int, want, because string) {
 		t.Helper()
-		state, why := w.until("shop", n, 30*time.Minute)
+		state, why := w.awaitRollout("shop", n, 30*time.Minute)
 		if state != want || !strings.Contains(why, because) {
 			t.Errorf("%q because %q, want %q because %q", state, why, want, because)
 		}
 		w.Run(w.now + 90*time.Second)
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 	}
 	machineOf := func(w *World, job string) *Machine {
 		for _, m := range w.Machines() {
@@ -198,7 +202,7 @@
 		}
 		return nil
 	}
-	t.Run("state service away", func(t *testing.T) {
+	t.Run("state service down", func(t *testing.T) {
 		w := serviceWorld(t, Config{Seed: 83}, 6)
 		roll(t, w, "web:good", nil)
 		for i := range 5 {
@@ -221,7 +225,7 @@
 			t.Errorf("%d of 6 serve", n)
 		}
 	})
-	t.Run("cut to a machine proves nothing", func(t *testing.T) {
+	t.Run("network cut to a machine is no failed check", func(t *testing.T) {
 		w := serviceWorld(t, Config{Seed: 85}, 6)
 		roll(t, w, "web:good", nil)
 		m := machineOf(w, "j-2")
@@ -231,7 +235,7 @@
 		if m == nil {
 			t.Fatal("no new instance runs")
 		}
-		for _, n := range w.nodes { // its reports go on through nobody: it may be lost
+		for _, n := range w.nodes { // no controller gets its reports either: the machine may be lost
 			w.Cut(n.host, m.Name, 15*time.Second, false)
 		}
 		expect(t, w, 1, "done", "")
@@ -250,12 +254,12 @@
 		w.after(25*time.Second, func() { w.jobs["j-1"].image = "web:bad" })
 		w.Run(w.now + 200*time.Second)
 		if r := w.ServiceRecord("shop"); r.R == nil || r.R.S != "stuck" || !strings.Contains(r.R.W, "fails, too") {
-			t.Errorf("%+v", r.R)
+			t.Errorf("the roll-out is %+v, want it stuck since the old version fails, too", r.R)
 		}
 		if n := len(w.services["shop"].instances(w)); n < 6 {
-			t.Errorf("%d instances are left", n)
+			t.Errorf("%d of 6 instances are left", n)
 		}
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 	})
 	t.Run("service withdrawn", func(t *testing.T) {
 		for _, how := range []string{"service", "old", "new"} {
@@ -284,12 +288,12 @@
 	})
 	t.Run("no room for the surge", func(t *testing.T) {
 		w := serviceWorld(t, Config{Seed: 89}, 6)
-		// A new instance that asks for more than any limit of the team leaves.
-		j := next("j-2", "web:good", 6)
+		// Job j-9 leaves the team room for at most one new instance under its limit.
+		j := versionJob("j-2", "web:good", 6)
 		j.Team, j.CPUs = "red", 16
 		w.Submit(Job{ID: "j-9", Kind: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 9, CPUs: 16, Urgency: "critical"})
 		w.Run(w.now + 90*time.Second)
-		w.mustRollout(t, Version{Service: "shop", Job: j, From: "j-1", Surge: 2, Plan: map[string]any{"stall_s": 60.0}, Health: health})
+		w.mustRollout(t, Version{Service: "shop", Job: j, From: "j-1", Surge: 2, Plan: map[string]any{"stall_s": 60.0}, Health: healthCheck})
 		w.Run(w.now + 100*time.Second)
 		if n := w.HealthyInstances("j-1"); n < 6 {
 			t.Errorf("%d of 6 old instances serve", n)
@@ -303,16 +307,16 @@
 		w.Run(w.now + 30*time.Second)
 		roll(t, w, "web:good", nil)
 		w.mustRollout(t, Version{Service: "till", Job: Job{ID: "j-8", Team: "free", Image: "web:late=10", ImageGB: 0.1, Tasks: 5, CPUs: 3}, From: "j-7",
-			Unavailable: 1, Surge: 0, Plan: map[string]any{"bake_s": 5.0, "window_s": 15.0}, Health: health})
-		if state, why := w.until("till", 1, 20*time.Minute); state != "rolled back" {
+			Unavailable: 1, Surge: 0, Plan: map[string]any{"bake_s": 5.0, "window_s": 15.0}, Health: healthCheck})
+		if state, why := w.awaitRollout("till", 1, 20*time.Minute); state != "rolled back" {
 			t.Errorf("till: %q because %q", state, why)
 		}
 		expect(t, w, 1, "done", "")
 	})
 	t.Run("by zone, then paused, aborted, and after another", func(t *testing.T) {
 		w := serviceWorld(t, Config{Seed: 91}, 9)
-		w.mustRollout(t, Version{Service: "shop", Job: next("j-2", "web:good", 9), From: "j-1", Surge: 1, Unavailable: 1,
-			Plan: map[string]any{"by_zone": true, "bake_s": 20.0}, Health: health})
+		w.mustRollout(t, Version{Service: "shop", Job: versionJob("j-2", "web:good", 9), From: "j-1", Surge: 1, Unavailable: 1,
+			Plan: map[string]any{"by_zone": true, "bake_s": 20.0}, Health: healthCheck})
 		zones := map[int]map[string]bool{}
 		for range 400 {
 			w.Run(w.now + time.Second)
@@ -335,16 +339,16 @@
 			t.Errorf("zones of new instances by step: %v", zones)
 		}
 		expect(t, w, 1, "done", "")
-		w.mustRollout(t, Version{Service: "shop", Job: next("j-3", "web:good", 9), Surge: 2, Plan: map[string]any{"steps": []any{3, 6}, "bake_s": 5.0}, Health: health})
+		w.mustRollout(t, Version{Service: "shop", Job: versionJob("j-3", "web:good", 9), Surge: 2, Plan: map[string]any{"steps": []any{3, 6}, "bake_s": 5.0}, Health: healthCheck})
 		w.Run(w.now + 15*time.Second)
 		w.AskService("shop", "pause", func(int, []byte) {})
 		w.Run(w.now + 20*time.Second)
 		n := w.HealthyInstances("j-3")
 		w.Run(w.now + 60*time.Second)
 		if m := w.HealthyInstances("j-3"); m != n || n == 0 || n == 9 {
-			t.Errorf("%d new instances when paused, %d a minute later", n, m)
+			t.Errorf("%d new instances after the pause, %d a minute later", n, m)
 		}
-		w.Rollout(Version{Service: "shop", Job: next("j-4", "web:good", 9), Surge: 1}, func(status int, body []byte) {
+		w.Rollout(Version{Service: "shop", Job: versionJob("j-4", "web:good", 9), Surge: 1}, func(status int, body []byte) {
 			if status != 409 || !strings.Contains(string(body), "under way") {
 				t.Errorf("a second roll-out got %d %s", status, body)
 			}
@@ -358,17 +362,18 @@
 	})
 }
 
-// TestRolloutDays are seeded days with everything at once: whatever happens, the
-// bounds hold, and one whole version serves in the end.
-func TestRolloutDays(t *testing.T) {
+// TestRolloutRandomFaults runs roll-outs of good and bad versions under random faults. The
+// bounds on the number of instances hold throughout, and in the end all instances are of
+// one good version.
+func TestRolloutRandomFaults(t *testing.T) {
 	for _, seed := range seeds(t, 12) {
 		w := serviceWorld(t, Config{Seed: 1000 + seed}, 8)
 		images := []string{"web:good", "web:good", "web:late=30", "web:some", "web:flap", "web:exit=4"}
 		h := map[string]any{}
-		for k, v := range health {
+		for k, v := range healthCheck {
 			h[k] = v
 		}
-		good, n, last := "j-1", 0, ""
+		good, n, outcomes := "j-1", 0, ""
 		for i := range 4 {
 			image := images[w.rng.IntN(len(images))]
 			id := fmt.Sprintf("j-%d", i+2)
@@ -409,17 +414,17 @@
 					w.after(at, func() { w.Cut(w.NodeName(max(0, w.Leader())), "state", w.randomSecs(2, 12), true) })
 				}
 			}
-			w.mustRollout(t, Version{Service: "shop", Job: next(id, image, 8), From: map[bool]string{true: "j-1"}[i == 0], Surge: 1 + w.rng.IntN(2), Unavailable: w.rng.IntN(2),
+			w.mustRollout(t, Version{Service: "shop", Job: versionJob(id, image, 8), From: map[bool]string{true: "j-1"}[i == 0], Surge: 1 + w.rng.IntN(2), Unavailable: w.rng.IntN(2),
 				Plan: map[string]any{"steps": []any{1, "50%"}, "bake_s": 10.0, "window_s": 40.0, "stall_s": 240.0}, Health: h})
 			w.Run(w.now + 8*time.Second)
 			n++
-			state, why := w.until("shop", n, 30*time.Minute)
-			last += fmt.Sprintf(" %s %s", image, state)
+			state, why := w.awaitRollout("shop", n, 30*time.Minute)
+			outcomes += fmt.Sprintf(" %s %s", image, state)
 			switch state {
 			case "done":
 				good = id
 				if image != "web:good" {
-					t.Errorf("seed %d: %s is called done", seed, image)
+					t.Errorf("seed %d: the roll-out of %s is done, want it rolled back", seed, image)
 				}
 			case "rolled back":
 			default:
@@ -428,11 +433,11 @@
 		}
 		w.Run(w.now + 120*time.Second)
 		if k := w.HealthyInstances(good); k != 8 || len(w.services["shop"].instances(w)) != 8 {
-			t.Errorf("seed %d: %d of 8 instances of %s serve, %d are there", seed, k, good, len(w.services["shop"].instances(w)))
+			t.Errorf("seed %d: %d of 8 instances of %s serve, %d exist", seed, k, good, len(w.services["shop"].instances(w)))
 		}
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 		if t.Failed() {
-			t.Fatalf("seed %d:%s", seed, last)
+			t.Fatalf("seed %d:%s", seed, outcomes)
 		}
 	}
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -13,12 +13,14 @@
 
 func world(seed uint64) *World { return worldOf(Config{Seed: seed, Nodes: 3}) }
 
-// seven is a world like lumiar's grown deployment: seven controllers in two
-// zones, workers in a third, and a state service that is smaller.
-func seven(seed uint64) *World {
+// sevenNodeWorld returns a world with seven controllers in two zones, workers in three
+// zones and a state service with lower rate limits.
+func sevenNodeWorld(seed uint64) *World {
 	return worldOf(Config{Seed: seed, Nodes: 7, NodeZones: []string{"a", "b"}, RPS: 120, WriteRPS: 25})
 }
 
+// worldOf returns a world with the machines, zones and teams that most tests use. SIM_LOG
+// has it log to standard output.
 func worldOf(c Config) *World {
 	log := slog.New(slog.DiscardHandler)
 	if os.Getenv("SIM_LOG") != "" {
@@ -29,7 +31,9 @@
 	return New(c)
 }
 
-func (w *World) verdict(t *testing.T, minDone int) {
+// checkOutcome fails the test if a rule was broken, if accepted jobs are unfinished or if
+// fewer than minDone jobs are done.
+func (w *World) checkOutcome(t *testing.T, minDone int) {
 	t.Helper()
 	for _, b := range w.Violations {
 		t.Error(b)
@@ -46,6 +50,7 @@
 	t.Logf("%d tasks started, %d jobs done, %d state and %d cloud requests over the rate", w.Started, w.Done, w.State.Limited, w.Cloud.Limited)
 }
 
+// seeds returns SIM_SEED alone if it is set, else 1 to SIM_SEEDS, or 1 to n without it.
 func seeds(t *testing.T, n int) []uint64 {
 	if s := os.Getenv("SIM_SEED"); s != "" {
 		v, err := strconv.ParseUint(s, 10, 64)
@@ -68,14 +73,15 @@
 	return out
 }
 
-func TestQuietDay(t *testing.T) {
+// TestNoFaults runs a random workload without faults.
+func TestNoFaults(t *testing.T) {
 	for _, s := range seeds(t, 3) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
 			w := world(s)
 			w.Workload(60, 150*time.Second)
 			w.Run(900 * time.Second)
-			w.verdict(t, 30)
+			w.checkOutcome(t, 30)
 			if w.State.Limited > 0 {
 				t.Errorf("%d requests over the state service's rate", w.State.Limited)
 			}
@@ -83,16 +89,16 @@
 	}
 }
 
-// aNode is a controller, often the leader.
-func (w *World) aNode() string {
+// randomNode returns a random controller's host name, at least half of the time the leader's.
+func (w *World) randomNode() string {
 	if l := w.Leader(); l >= 0 && w.rng.IntN(2) == 0 {
 		return w.NodeName(l)
 	}
 	return w.NodeName(w.rng.IntN(len(w.nodes)))
 }
 
-// trouble makes one random fault happen.
-func (w *World) trouble() {
+// injectFault causes one random fault.
+func (w *World) injectFault() {
 	r := w.rng
 	d := w.randomSecs(2, 45)
 	ms := w.Machines()
@@ -111,9 +117,9 @@
 	case 4:
 		w.State.Outage(min(d, 15*time.Second))
 	case 5:
-		w.State.RefuseNode(w.aNode(), 3*d)
+		w.State.RefuseNode(w.randomNode(), 3*d)
 	case 6:
-		w.Cut(w.aNode(), "state", 3*d, r.IntN(2) == 0)
+		w.Cut(w.randomNode(), "state", 3*d, r.IntN(2) == 0)
 	case 7, 8:
 		if len(ms) > 0 {
 			ms[r.IntN(len(ms))].Hang(d)
@@ -126,7 +132,7 @@
 		if len(ms) > 0 {
 			w.Cloud.Reclaim(ms[r.IntN(len(ms))], w.randomSecs(0, 12))
 		}
-	case 11: // a zone's machines lose some of the nodes
+	case 11: // some nodes are cut off from a zone's machines
 		z := w.cfg.Zones[r.IntN(3)]
 		hold := r.IntN(2) == 0
 		for i := range n {
@@ -138,7 +144,7 @@
 				}
 			}
 		}
-	case 12: // a node loses the workers, one by one
+	case 12: // a node is cut off from half of the workers, for different times
 		i, hold := r.IntN(n), r.IntN(2) == 0
 		for _, m := range ms {
 			if r.IntN(2) == 0 {
@@ -153,7 +159,7 @@
 		w.RollingRestart(w.randomSecs(5, 20), w.randomSecs(3, 8))
 	case 16:
 		w.State.SlowDown(2 * d)
-	case 17, 18: // for shorter and for longer than each lease
+	case 17, 18: // a pause shorter or longer than the leases
 		i := r.IntN(n)
 		if l := w.Leader(); l >= 0 && r.IntN(3) > 0 {
 			i = l
@@ -163,7 +169,7 @@
 		w.DelayWrites(0.05+0.3*r.Float64(), d)
 	case 21:
 		w.RepeatReports(0.05+0.4*r.Float64(), 2*d)
-	case 22: // for shorter and for longer than a lease
+	case 22: // for shorter or longer than a lease
 		share := r.Float64()
 		for _, m := range ms {
 			if r.Float64() < share {
@@ -172,7 +178,7 @@
 		}
 	case 23:
 		w.Isolate(max(0, w.Leader()), 2*d, r.IntN(2) == 0)
-	case 19: // machines come up late, at once or never
+	case 19: // machines boot late, almost at once or never
 		zone, f, until := w.cfg.Zones[r.IntN(3)], []float64{-1, 0.05, 5}[r.IntN(3)], w.now+3*d
 		all := r.IntN(2) == 0
 		w.Cloud.BootFactor = func(z string) float64 {
@@ -184,8 +190,8 @@
 	}
 }
 
-// TestTroubledDays plays days with every kind of trouble, alone and together.
-func TestTroubledDays(t *testing.T) {
+// TestRandomFaults runs a workload under random faults of every kind, which may overlap.
+func TestRandomFaults(t *testing.T) {
 	for _, s := range seeds(t, 40) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
@@ -198,43 +204,43 @@
 			}
 			w.Workload(60, 200*time.Second)
 			for i := 0; i < 14; i++ {
-				w.At(w.randomSecs(10, 260), w.trouble)
+				w.At(w.randomSecs(10, 260), w.injectFault)
 			}
 			w.Run(1300 * time.Second)
-			w.verdict(t, 25)
+			w.checkOutcome(t, 25)
 		})
 	}
 }
 
-// TestSevenControllers plays troubled days with seven controllers in two zones.
+// TestSevenControllers runs a workload under random faults with seven controllers in two zones.
 func TestSevenControllers(t *testing.T) {
 	for _, s := range seeds(t, 16) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
-			w := seven(1000 + s)
+			w := sevenNodeWorld(1000 + s)
 			w.State.SlowOneIn = 50
 			w.StallOneIn = 700
 			w.Workload(60, 200*time.Second)
-			w.At(60*time.Second, func() { // all at once, and once more
+			w.At(60*time.Second, func() { // all controllers at once
 				for i := range w.nodes {
 					w.Crash(i, w.randomSecs(3, 8))
 				}
 			})
 			w.At(120*time.Second, func() { w.RollingRestart(8*time.Second, 5*time.Second) })
 			for i := 0; i < 10; i++ {
-				w.At(w.randomSecs(10, 260), w.trouble)
+				w.At(w.randomSecs(10, 260), w.injectFault)
 			}
 			w.Run(1300 * time.Second)
-			w.verdict(t, 25)
+			w.checkOutcome(t, 25)
 		})
 	}
 }
 
-// TestWaitingNodesAreModest guards against nodes that wait eating the budget of
-// the one that works: six of them once refused users while their own watches
-// took most of their share (lumiar grown, 3,181 answers of 503).
-func TestWaitingNodesAreModest(t *testing.T) {
-	w := seven(3)
+// TestStandbyRequestRate guards against standby controllers that use up the state
+// service's request rate: the watches of six standbys took most of their own share,
+// and they answered users with 503 (3,181 times in one run).
+func TestStandbyRequestRate(t *testing.T) {
+	w := sevenNodeWorld(3)
 	w.Workload(60, 150*time.Second)
 	w.Run(300 * time.Second)
 	waiting := 0
@@ -244,7 +250,7 @@
 		}
 	}
 	if rate := float64(waiting) / 300; rate > 0.4*120 {
-		t.Errorf("six waiting nodes ask %.0f times a second", rate)
+		t.Errorf("six standby nodes send %.0f requests a second", rate)
 	}
 	if w.State.Limited > 0 {
 		t.Errorf("%d requests over the rate", w.State.Limited)
@@ -255,8 +261,8 @@
 }
 
 // TestCancelledJobSurvivesFailover guards against a new leader that forgets a
-// cancelled job before it has read where its tasks are: their room in the
-// team's limit was given away while they still ran (found by a troubled day).
+// cancelled job before it has read where the job's tasks are: it gave their share
+// of the team's limit to other tasks while they still ran.
 func TestCancelledJobSurvivesFailover(t *testing.T) {
 	w := world(5)
 	w.checkCancelled()
@@ -270,8 +276,8 @@
 		w.Submit(Job{ID: "j-2", Kind: "standing", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, GPUs: 4})
 	})
 	w.At(27500*time.Millisecond, func() {
-		// The first job's workers hear nobody: its tasks can't be stopped yet,
-		// while another machine could take the second job at once.
+		// No controller reaches the workers of job j-1: its tasks can't be stopped
+		// yet, while another machine could start job j-2 at once.
 		for _, m := range w.Machines() {
 			for i := 0; i < 3 && len(m.tasks) > 1; i++ {
 				w.Cut(w.NodeName(i), m.Name, 12*time.Second, false)
@@ -284,13 +290,13 @@
 		t.Error(b)
 	}
 	if w.Started < 12 {
-		t.Errorf("%d tasks started: the day didn't come to what it should show", w.Started)
+		t.Errorf("%d tasks started, want at least 12: the intended scenario did not occur", w.Started)
 	}
 }
 
-// TestDeafLeaderGivesWay guards against a leader that is cut off from the
+// TestLeaderCutOffFromWorkersStepsDown guards against a leader that is cut off from the
 // workers only, and keeps leading until all their leases have run out.
-func TestDeafLeaderGivesWay(t *testing.T) {
+func TestLeaderCutOffFromWorkersStepsDown(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		w := world(6)
 		w.At(5*time.Second, func() {
@@ -305,7 +311,7 @@
 		})
 		w.Run(85 * time.Second)
 		if l := w.Leader(); l == first || l < 0 {
-			t.Errorf("hold %v: node %d leads still", hold, l)
+			t.Errorf("hold %v: node %d still leads", hold, l)
 		}
 		for _, m := range w.Machines() {
 			if m.session > 1 {
@@ -313,15 +319,16 @@
 			}
 		}
 		w.Run(300 * time.Second)
-		w.verdict(t, 1)
+		w.checkOutcome(t, 1)
 	}
 }
 
-// TestHealth guards against a node that keeps users although the state service
-// refuses it alone, and against all nodes sending users away in an outage.
+// TestHealth guards against a node that reports itself healthy although the state
+// service refuses it alone, and against all nodes reporting themselves unhealthy
+// during an outage of the state service.
 func TestHealth(t *testing.T) {
 	w := world(8)
-	health := func(at time.Duration, want string) {
+	expectHealth := func(at time.Duration, want string) {
 		w.Run(at)
 		got := ""
 		for _, s := range w.nodes {
@@ -331,35 +338,35 @@
 			t.Errorf("at %v: %s, want %s", at, got, want)
 		}
 	}
-	health(5*time.Second, "200 200 200 ")
+	expectHealth(5*time.Second, "200 200 200 ")
 	w.State.RefuseNode(w.NodeName(1), 20*time.Second)
-	health(12*time.Second, "200 503 200 ")
-	health(30*time.Second, "200 200 200 ")
+	expectHealth(12*time.Second, "200 503 200 ")
+	expectHealth(30*time.Second, "200 200 200 ")
 	w.State.Outage(30 * time.Second)
-	health(40*time.Second, "200 200 200 ")
-	health(58*time.Second, "200 200 200 ")
+	expectHealth(40*time.Second, "200 200 200 ")
+	expectHealth(58*time.Second, "200 200 200 ")
 }
 
-// TestGangWithSlowFetch guards against a gang that never comes together: its
-// image takes some machines longer than others by more than a task may wait,
-// and starting all anew gave up the slowest fetch each time (lumiar grown, a
-// gang of four that fetched and waited until the end of the day).
+// TestGangWithSlowFetch guards against a gang that never runs: some machines take
+// longer than others to fetch its image, by more than a task may wait for its peers.
+// Each restart of the whole gang aborted the slowest fetch, so that a gang of four
+// fetched and waited until the end of the run.
 func TestGangWithSlowFetch(t *testing.T) {
 	for _, s := range seeds(t, 5) {
 		w := world(s)
 		w.At(5*time.Second, func() {
 			w.Submit(Job{ID: "j-1", Kind: "ensemble", Team: "free", Image: "large", ImageGB: 80, Tasks: 4, CPUs: 16, RunS: 20})
 		})
-		if s%2 == 0 { // the next leader goes on with it
+		if s%2 == 0 { // the next leader continues the attempt
 			w.At(150*time.Second, func() { w.Crash(w.Leader(), 3*time.Second) })
 		}
 		w.Run(400 * time.Second)
-		w.verdict(t, 1)
+		w.checkOutcome(t, 1)
 	}
 }
 
-// TestGangReplacement guards against a gang that starts anew because one of its
-// machines was lost before it had begun: a replacement joins the attempt.
+// TestGangReplacement guards against a gang that starts again because one of its
+// machines was lost before the gang ran: a replacement joins the attempt.
 func TestGangReplacement(t *testing.T) {
 	for _, s := range seeds(t, 6) {
 		w := world(s)
@@ -387,34 +394,34 @@
 		}
 		w.At(6*time.Second, lose)
 		w.Run(400 * time.Second)
-		w.verdict(t, 1)
-		// In one zone there may be no machine for it in time.
+		w.checkOutcome(t, 1)
+		// If all tasks need the same zone, it may have no machine in time.
 		if !lost || (s%3 != 0 && len(w.gangs) != 1) {
 			t.Errorf("seed %d: lost %v, %d attempts", s, lost, len(w.gangs))
 		}
 	}
 }
 
-// TestRefusedLeaderGivesWay guards against a leader that the state service
-// refuses alone and that goes on answering the workers: the new leader heard
-// nobody, took itself for cut off and gave way, again and again.
-func TestRefusedLeaderGivesWay(t *testing.T) {
+// TestLeaderRefusedByStateStepsDown guards against a leader that the state service
+// refuses alone and that goes on answering the workers: each new leader got no
+// reports, assumed that it was cut off and stepped down.
+func TestLeaderRefusedByStateStepsDown(t *testing.T) {
 	w := world(9)
 	w.At(5*time.Second, func() {
 		w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 20, CPUs: 4, RunS: 100})
 	})
-	old := -1
+	refused := -1
 	w.At(30*time.Second, func() {
-		old = w.Leader()
-		w.State.RefuseNode(w.NodeName(old), 60*time.Second)
+		refused = w.Leader()
+		w.State.RefuseNode(w.NodeName(refused), 60*time.Second)
 	})
 	w.Run(44 * time.Second)
 	next := w.Leader()
-	if next == old || next < 0 {
-		t.Errorf("node %d leads still", next)
+	if next == refused || next < 0 {
+		t.Errorf("node %d leads, want another than the refused leader", next)
 	}
-	if _, ok := w.nodes[old].node.Leading(); ok {
-		t.Error("the refused leader hasn't given way")
+	if _, ok := w.nodes[refused].node.Leading(); ok {
+		t.Error("the refused leader has not stepped down")
 	}
 	for _, m := range w.Machines() {
 		if m.up && m.node != next {
@@ -423,8 +430,8 @@
 	}
 	w.Run(85 * time.Second)
 	if l := w.Leader(); l != next {
-		t.Errorf("the leader has changed once more, from %d to %d", next, l)
+		t.Errorf("the leader changed a second time, from %d to %d", next, l)
 	}
 	w.Run(300 * time.Second)
-	w.verdict(t, 1)
+	w.checkOutcome(t, 1)
 }
--- a/internal/sim/slowstate_test.go
+++ b/internal/sim/slowstate_test.go
@@ -14,7 +14,7 @@
 func TestEveryAnswerIsSlow(t *testing.T) {
 	for _, slow := range []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 		w := worldOf(Config{Seed: 51, Nodes: 3})
-		w.steady("steady", 1, time.Second, 5*time.Second, 150*time.Second, func(int) Job {
+		w.submitSteadily("steady", 1, time.Second, 5*time.Second, 150*time.Second, func(int) Job {
 			return Job{Kind: "sweep", Team: "free", Tasks: 1, CPUs: 2, RunS: 5, ImageGB: 0.1, Image: "i"}
 		})
 		w.AnswerDelay = func(from string, c actor.Call) time.Duration {
@@ -38,6 +38,6 @@
 		}
 		t.Logf("answers after %v: %d tasks started in 55 s, of %d polls %d were answered, %d refused", slow, w.Started-started, w.Polls-polls, w.AnsweredPolls-good, w.RefusedPolls-refused)
 		w.Run(500 * time.Second)
-		w.verdict(t, 100)
+		w.checkOutcome(t, 100)
 	}
 }
--- a/internal/sim/spell_test.go
+++ b/internal/sim/spell_test.go
@@ -9,12 +9,12 @@
 	"brooklb/internal/actor"
 )
 
-// TestLimitInASpell: a team is at its limit when the leader changes, some of its machines can't
-// be asked, and a cancellation falls into that spell, while more of the team's work waits to
-// take the room. What may still run counts until it is proven gone, whoever deletes its record,
-// through one to three changes: the team's use never exceeds its limit (the rule `quota`), and
-// the work that waits is started in the end.
-func TestLimitInASpell(t *testing.T) {
+// TestLimitDuringFailover guards against a team that exceeds its limit (the rule `quota`). The
+// team is at its limit when the leader changes one to three times, some of its machines can't be
+// reached, and its jobs are cancelled while more of its work waits. A task that may still run
+// counts until it is proven to have ended, even if its record is deleted before. The waiting work
+// is started in the end.
+func TestLimitDuringFailover(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		team    string
@@ -23,15 +23,15 @@
 		gpus    float64
 		tasks   int
 		changes int
-		apart   func(w *World, m *Machine, d time.Duration)
+		isolate func(w *World, m *Machine, d time.Duration)
 	}{
-		{"CPUs, arrays, cut", "red", "sweep", 8, 0, 20, 1, func(w *World, m *Machine, d time.Duration) { w.cutFromAll(m, d, true) }},
-		{"CPUs, arrays, mute", "red", "sweep", 8, 0, 20, 2, func(_ *World, m *Machine, d time.Duration) { m.BlockOutbound(d) }},
+		{"CPUs, arrays, cut", "red", "sweep", 8, 0, 20, 1, func(w *World, m *Machine, d time.Duration) { w.cutFromControllers(m, d, true) }},
+		{"CPUs, arrays, no reports", "red", "sweep", 8, 0, 20, 2, func(_ *World, m *Machine, d time.Duration) { m.BlockOutbound(d) }},
 		{"CPUs, arrays, hanging", "red", "sweep", 8, 0, 20, 3, func(_ *World, m *Machine, d time.Duration) { m.Hang(min(d, 29*time.Second)) }},
-		{"CPUs, gangs, cut", "red", "ensemble", 8, 0, 4, 2, func(w *World, m *Machine, d time.Duration) { w.cutFromAll(m, d, false) }},
-		{"GPUs, gangs, cut", "blue", "ensemble", 2, 2, 2, 3, func(w *World, m *Machine, d time.Duration) { w.cutFromAll(m, d, true) }},
-		{"GPUs, arrays, deaf", "blue", "sweep", 2, 2, 10, 2, func(_ *World, m *Machine, d time.Duration) { m.LoseInbound(d) }},
-		{"GPUs, services, mute", "blue", "standing", 2, 2, 10, 3, func(_ *World, m *Machine, d time.Duration) { m.BlockOutbound(d) }},
+		{"CPUs, gangs, cut", "red", "ensemble", 8, 0, 4, 2, func(w *World, m *Machine, d time.Duration) { w.cutFromControllers(m, d, false) }},
+		{"GPUs, gangs, cut", "blue", "ensemble", 2, 2, 2, 3, func(w *World, m *Machine, d time.Duration) { w.cutFromControllers(m, d, true) }},
+		{"GPUs, arrays, answers lost", "blue", "sweep", 2, 2, 10, 2, func(_ *World, m *Machine, d time.Duration) { m.LoseInbound(d) }},
+		{"GPUs, services, no reports", "blue", "standing", 2, 2, 10, 3, func(_ *World, m *Machine, d time.Duration) { m.BlockOutbound(d) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -51,7 +51,7 @@
 						job(fmt.Sprintf("j-9%02d", i), 4000)
 					}
 				})
-				out, hidden := 0, 0
+				isolated, isolatedTasks := 0, 0
 				w.At(from, func() {
 					use := 0.0
 					for _, m := range w.Machines() {
@@ -62,14 +62,14 @@
 								use += c.cpus
 							}
 						}
-						if mine > 0 && out < 4 {
-							out++
-							hidden += mine
-							c.apart(w, m, w.randomSecs(20, 100))
+						if mine > 0 && isolated < 4 {
+							isolated++
+							isolatedTasks += mine
+							c.isolate(w, m, w.randomSecs(20, 100))
 						}
 					}
 					if limit := map[string]float64{"red": 160, "blue": 20}[c.team]; use < limit*0.9 {
-						t.Errorf("seed %d: the team uses %v of %v: the meeting did not come about", seed, use, limit)
+						t.Errorf("seed %d: the team uses %v of %v: the intended scenario did not occur", seed, use, limit)
 					}
 					for k := range c.changes {
 						w.after(time.Duration(k)*w.randomSecs(4, 12), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 8)) })
@@ -79,7 +79,7 @@
 							w.cancel(w.jobs[fmt.Sprintf("j-9%02d", i)])
 						}
 					})
-					for i := range n { // the team's other work waits for the room
+					for i := range n { // the team's other work waits for its share of the limit
 						w.after(w.randomSecs(0, 10), func() { job(fmt.Sprintf("j-8%02d", i), 20) })
 					}
 				})
@@ -92,33 +92,34 @@
 					})
 				}
 				w.Run(800 * time.Second)
-				w.noneBroken(t)
+				w.checkNoBrokenRules(t)
 				if u := w.Unfinished(); len(u) > 0 {
 					t.Errorf("seed %d: unfinished: %v", seed, u)
 				}
-				if hidden == 0 || w.Starts("j-800") == 0 {
-					t.Errorf("seed %d: %d tasks on machines that can't be asked, %d starts of what waited: the meeting did not come about", seed, hidden, w.Starts("j-800"))
+				if isolatedTasks == 0 || w.Starts("j-800") == 0 {
+					t.Errorf("seed %d: %d tasks on unreachable machines, %d starts of waiting tasks: the intended scenario did not occur", seed, isolatedTasks, w.Starts("j-800"))
 				}
 			}
 		})
 	}
 }
 
-// cutFromAll cuts a machine off from all controllers.
-func (w *World) cutFromAll(m *Machine, d time.Duration, hold bool) {
+// cutFromControllers cuts a machine off from all controllers.
+func (w *World) cutFromControllers(m *Machine, d time.Duration, hold bool) {
 	for i := range w.nodes {
 		w.Cut(w.NodeName(i), m.Name, d, hold)
 	}
 }
 
-// TestHeldReports has reports held up until a new leader has acted, and then arrive there: one
-// of a machine, or of all, before and after the new leader asked the worker itself, also under
-// a token that the reporter had not seen. What has ended or begun since counts, not they.
-func TestHeldReports(t *testing.T) {
+// TestDelayedReports delays reports of some or all machines until a new leader has acted, so that
+// they arrive there before or after the new leader asked the worker itself, also under a token
+// that the worker had not seen when it sent them. An outdated report must not override what has
+// started or ended since.
+func TestDelayedReports(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		share float64
-		hold  float64 // seconds, from half of it on
+		hold  float64 // longest delay in seconds; the shortest is half of it
 		twice bool    // the leader changes once more
 	}{
 		{"one, for a short time", 0.1, 3, false},
@@ -130,7 +131,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			held := 0
+			delayed := 0
 			for _, seed := range seeds(t, 4) {
 				w := worldOf(Config{Seed: 1400 + seed, Nodes: 3})
 				w.checkCancelled()
@@ -140,37 +141,37 @@
 							CancelAfter: time.Duration(i%5/4) * 20 * time.Second, Spot: true, Urgency: []string{"high", "idle"}[i%2]})
 					})
 				}
-				late := map[string]bool{}
+				reporters := map[string]bool{}
 				for at := 30 * time.Second; at < 110*time.Second; at += 25 * time.Second {
-					w.At(at-w.randomSecs(0.2, 1.5), func() { late = map[string]bool{} })
+					w.At(at-w.randomSecs(0.2, 1.5), func() { reporters = map[string]bool{} })
 					w.At(at, func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.05, 5)) })
 					if c.twice {
 						w.At(at+8*time.Second, func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.05, 5)) })
 					}
 				}
 				w.RequestDelay = func(from string, a actor.Call) time.Duration {
-					if a.Path != "/hello" || w.now < 28*time.Second || w.now > 115*time.Second || late[from] || w.rng.Float64() >= c.share {
+					if a.Path != "/hello" || w.now < 28*time.Second || w.now > 115*time.Second || reporters[from] || w.rng.Float64() >= c.share {
 						return 0
 					}
-					late[from] = true // one report of each machine around each change
-					held++
+					reporters[from] = true // one report of each machine around each change
+					delayed++
 					return w.randomSecs(c.hold/2, c.hold)
 				}
 				w.FaultsEndAt = 180 * time.Second
 				w.Run(600 * time.Second)
-				w.verdict(t, 20)
+				w.checkOutcome(t, 20)
 			}
-			if held < 10 {
-				t.Errorf("%d reports were held: the meeting did not come about", held)
+			if delayed < 10 {
+				t.Errorf("%d reports were delayed: the intended scenario did not occur", delayed)
 			}
 		})
 	}
 }
 
-// TestMoreWorkOverSlowLinks has more work than room, urgent and not, while each message between
-// controllers and workers takes 1 to 2 s, so that many direct commands get no answer in time:
-// starts of unknown fate pile up. The rules hold, half of each class is served, and the leader
-// doesn't give way again and again.
+// TestMoreWorkOverSlowLinks has more work than the machines have room for, urgent and not, while
+// each message between controllers and workers takes 0.3 to 2 s. Many direct commands then get no
+// answer in time, and the starts whose outcome is unknown accumulate. The rules hold, half of each
+// class is done, and the leader doesn't step down repeatedly.
 func TestMoreWorkOverSlowLinks(t *testing.T) {
 	t.Parallel()
 	for _, lo := range []float64{0.3, 0.8, 1.2} {
@@ -179,10 +180,10 @@
 			w := worldOf(Config{Seed: 1500 + seed, Nodes: 3})
 			w.checkCancelled()
 			w.SlowLinks(KindNode, KindMachine, lo, lo+0.8, 300*time.Second)
-			w.steady("urgent", 1, 3*time.Second, 10*time.Second, 260*time.Second, func(int) Job {
+			w.submitSteadily("urgent", 1, 3*time.Second, 10*time.Second, 260*time.Second, func(int) Job {
 				return Job{Kind: "sweep", Team: "red", Tasks: 8, CPUs: 4, RunS: 20, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 2}
 			})
-			w.steady("low", 2, 4*time.Second, 10*time.Second, 260*time.Second, func(i int) Job {
+			w.submitSteadily("low", 2, 4*time.Second, 10*time.Second, 260*time.Second, func(i int) Job {
 				return Job{Kind: []string{"sweep", "ensemble"}[i%2], Team: "free", Tasks: 6, CPUs: 8, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 3}
 			})
 			w.OnSend = func(_ string, a actor.Call) {
@@ -195,7 +196,7 @@
 			}
 			w.FaultsEndAt = 320 * time.Second
 			w.Run(900 * time.Second)
-			w.verdict(t, 80)
+			w.checkOutcome(t, 80)
 			for k, n := range w.Served() {
 				if 2*n[2] < n[0] {
 					t.Errorf("links of %v s, seed %d: %d of %d %s done", lo, seed, n[2], n[0], k)
--- a/internal/sim/units_test.go
+++ b/internal/sim/units_test.go
@@ -12,8 +12,8 @@
 	"brooklb/internal/units"
 )
 
-// books asks the leader for its book of a resource.
-func (w *World) books(name string) (v struct {
+// resourceLedger asks the leader for its ledger of a resource, for up to two minutes.
+func (w *World) resourceLedger(name string) (v struct {
 	Count int
 	Live  *struct {
 		Used, Free, Waiting int
@@ -34,13 +34,13 @@
 	return v
 }
 
-// TestLicences is the users' proof: 200 jobs compete for 5 units, some of them are
-// killed at random, and the controllers, the state service and machines fail. Never
-// are more than 5 in use, by what runs on machines; none is lost in the end; and none
-// is free for long while jobs wait.
+// TestLicences has 200 jobs compete for 5 units while some of them are cancelled at random
+// and, with odd seeds, controllers, machines and the state service fail. The tasks on the
+// machines never use more than 5 units, all units are free in the end, and units are
+// rarely free while jobs wait.
 func TestLicences(t *testing.T) {
 	t.Parallel()
-	idle, busy, waits := 0.0, 0.0, 0
+	allFree, allUnits, runs := 0.0, 0.0, 0
 	for _, seed := range seeds(t, 6) {
 		w := worldOf(Config{Seed: 3000 + seed, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 5}}})
 		w.units["seat"] = []unitCount{{0, 5}}
@@ -58,7 +58,7 @@
 		for at := 20 * time.Second; at < 400*time.Second && seed%2 == 1; at += w.randomSecs(20, 50) {
 			w.At(at, func() {
 				switch w.rng.IntN(8) {
-				case 6: // orders that arrive late
+				case 6: // commands arrive late
 					for _, m := range w.Machines() {
 						if w.rng.IntN(2) == 0 {
 							w.Cut(w.NodeName(max(0, w.Leader())), m.Name, w.randomSecs(5, 60), true)
@@ -77,7 +77,7 @@
 				case 3, 4:
 					for _, m := range w.Machines() {
 						if m.Tasks() > 0 && w.rng.IntN(2) == 0 {
-							m.Hang(w.randomSecs(5, 40)) // lost, and back
+							m.Hang(w.randomSecs(5, 40)) // some longer than the lease
 						}
 					}
 				case 5:
@@ -87,7 +87,7 @@
 				}
 			})
 		}
-		free, full := 0.0, 0.0
+		freeUnits, totalUnits := 0.0, 0.0
 		for w.now < 1500*time.Second && (w.now < 40*time.Second || len(w.Unfinished()) > 0) {
 			w.Run(w.now + 250*time.Millisecond)
 			n := w.UnitsInUse("seat")
@@ -95,32 +95,32 @@
 				t.Fatalf("seed %d: %d units in use at %v", seed, n, w.now)
 			}
 			if left := len(w.Unfinished()); w.now > 30*time.Second && left > 5 {
-				free += float64(5 - n)
-				full += 5
+				freeUnits += float64(5 - n)
+				totalUnits += 5
 			}
 		}
-		waits++
+		runs++
 		if seed%2 == 0 { // without failures
-			idle += free
-			busy += full
+			allFree += freeUnits
+			allUnits += totalUnits
 		}
 		w.Run(w.now + 90*time.Second)
-		w.noneBroken(t)
+		w.checkNoBrokenRules(t)
 		if u := w.Unfinished(); len(u) > 0 {
 			t.Errorf("seed %d: unfinished %v", seed, u)
 		}
-		if b := w.books("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 5 {
-			t.Errorf("seed %d: in the end the book has %+v", seed, b.Live)
+		if b := w.resourceLedger("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 5 {
+			t.Errorf("seed %d: at the end the ledger has %+v", seed, b.Live)
 		}
 	}
-	if idle > 0.2*busy {
-		t.Errorf("%.0f%% of the units were free while jobs waited", 100*idle/busy)
+	if allFree > 0.2*allUnits {
+		t.Errorf("%.0f%% of the units were free while jobs waited", 100*allFree/allUnits)
 	}
-	t.Logf("%d days; without failures %.1f%% of the units were free while jobs waited", waits, 100*idle/busy)
+	t.Logf("%d runs; without failures %.1f%% of the units were free while jobs waited", runs, 100*allFree/allUnits)
 }
 
-// TestLargeRequest guards a gang that asks for many units at once from single tasks
-// that keep coming, and the units from standing idle for it for long.
+// TestLargeRequest guards against a gang that never gets the many units it needs because
+// single tasks keep arriving, and against units kept free for the gang for long.
 func TestLargeRequest(t *testing.T) {
 	w := worldOf(Config{Seed: 97, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 6}}})
 	w.units["seat"] = []unitCount{{0, 6}}
@@ -133,33 +133,33 @@
 	w.At(asked, func() {
 		w.Submit(Job{ID: "j-900", Kind: "ensemble", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 1, RunS: 20, Units: map[string]int{"seat": 1}})
 	})
-	free := 0.0
+	freeSeconds := 0.0
 	for w.now < 600*time.Second {
 		w.Run(w.now + 250*time.Millisecond)
 		if begun == 0 && w.jobs["j-900"] != nil && w.Starts("j-900") > 0 {
 			begun = w.now
 		}
 		if begun == 0 && w.now > asked {
-			free += 0.25 * float64(6-w.UnitsInUse("seat"))
+			freeSeconds += 0.25 * float64(6-w.UnitsInUse("seat"))
 		}
 	}
-	w.noneBroken(t)
+	w.checkNoBrokenRules(t)
 	if u := w.Unfinished(); len(u) > 0 {
 		t.Errorf("unfinished: %v", u)
 	}
 	if begun == 0 || begun-asked > 45*time.Second {
 		t.Errorf("the gang began at %v, it was submitted at %v", begun, asked)
 	}
-	if free > 60 {
-		t.Errorf("%.0f unit seconds were free meanwhile", free)
+	if freeSeconds > 60 {
+		t.Errorf("the units were free for %.0f unit seconds while the gang waited", freeSeconds)
 	}
-	t.Logf("the gang waited %v, %.1f unit seconds were free meanwhile", begun-asked, free)
+	t.Logf("the gang waited %v, %.1f unit seconds were free meanwhile", begun-asked, freeSeconds)
 }
 
-// TestUnitsChange has the count change while units are in use: lowered, nothing is
-// killed and nothing new starts; lowered with the wish to stop what exceeds it, that
-// is stopped; removed, jobs wait and say why; raised, they go on. A leader that takes
-// over in the middle knows all of that.
+// TestUnitsChange changes the count of a resource while its units are in use, with a change
+// of leader on the way. A lowered count stops no task and lets none start; with the shed
+// option the tasks over the count are stopped. When the resource is removed, its jobs wait
+// and say why; when it is declared again, they go on.
 func TestUnitsChange(t *testing.T) {
 	w := worldOf(Config{Seed: 98, Nodes: 3})
 	set := func(body map[string]any) {
@@ -182,14 +182,14 @@
 	}
 	w.Run(40 * time.Second)
 	expect(6, "at first")
-	if b := w.books("seat"); b.Live == nil || len(b.Live.Holders) != 6 || b.Live.Holders[0].Job != "j-1" || b.Live.Holders[0].Machine == "" || !strings.Contains(b.Live.Holders[0].Until, "end is reported") {
-		t.Errorf("the book has %+v", b.Live)
+	if b := w.resourceLedger("seat"); b.Live == nil || len(b.Live.Holders) != 6 || b.Live.Holders[0].Job != "j-1" || b.Live.Holders[0].Machine == "" || !strings.Contains(b.Live.Holders[0].Until, "end is reported") {
+		t.Errorf("the ledger has %+v", b.Live)
 	}
 	set(map[string]any{"count": 3})
 	w.Crash(w.Leader(), time.Second)
 	w.Run(60 * time.Second)
 	expect(6, "lowered")
-	w.Run(110 * time.Second) // those that ran are done
+	w.Run(110 * time.Second) // the tasks that ran have ended
 	expect(3, "lowered, later")
 	set(map[string]any{"count": 1, "shed": true})
 	w.Run(w.now + 8*time.Second)
@@ -209,14 +209,15 @@
 		t.Errorf("%d units are in use of the 4 that were declared again", n)
 	}
 	w.Run(w.now + 300*time.Second)
-	w.verdict(t, 1)
+	w.checkOutcome(t, 1)
 	if m := len(w.Cloud.machines); m > 12 {
 		t.Errorf("%d machines were rented for jobs that waited for units", m)
 	}
 }
 
-// TestUnitsDoor guards what is refused about resources and of jobs that ask for them.
-func TestUnitsDoor(t *testing.T) {
+// TestUnitsRejections checks which requests about resources are refused, and which jobs
+// that ask for units.
+func TestUnitsRejections(t *testing.T) {
 	w := worldOf(Config{Seed: 99, Nodes: 3})
 	w.Run(5 * time.Second)
 	post := func(path, body string, want int, why string) {
@@ -251,12 +252,12 @@
 		{`[{"name":"Seat"}]`, 422, "small letters"}, {`[{"name":"seat","count":0.5}]`, 400, "whole number"}, {`[{"name":"seat","per":"week"}]`, 400, "neither"}, {`"seat"`, 400, "malformed"}} {
 		post("/v2/runs", fmt.Sprintf(job, i, c.units), c.want, c.why)
 	}
-	w.noneBroken(t)
+	w.checkNoBrokenRules(t)
 }
 
-// TestProbe has units taken outside, as a probe says: they are not given, its silence
-// keeps the last number for a while, also over a change of leader, and then nothing
-// is given any more.
+// TestProbe has a probe report units that are taken outside of the cluster. The leader
+// does not give these to jobs. When the probe stops answering, the last number holds for
+// 30 s, also over a change of leader; after that no units are given.
 func TestProbe(t *testing.T) {
 	w := worldOf(Config{Seed: 100, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 5,
 		Probe: &units.Probe{Addr: ProbeAddr, Path: "/used", Every: 2 * time.Second, Keep: 30 * time.Second, Cautious: -1}}}})
@@ -284,25 +285,26 @@
 		t.Errorf("with 1 of 5 taken outside %d were in use", n)
 	}
 	w.ExternalUse = -1
-	w.Crash(w.Leader(), 2*time.Second) // the next one knows what was written
+	w.Crash(w.Leader(), 2*time.Second) // the next leader reads the last number from storage
 	w.Run(95 * time.Second)
 	if n := most(110 * time.Second); n != 4 {
-		t.Errorf("silent for 20 s: %d in use", n)
+		t.Errorf("probe without an answer for 20 s: %d units in use", n)
 	}
 	w.Run(150 * time.Second)
 	if n := most(170 * time.Second); n != 0 {
-		t.Errorf("silent for over 30 s: %d in use", n)
+		t.Errorf("probe without an answer for over 30 s: %d units in use", n)
 	}
 	w.ExternalUse = 0
 	w.Run(185 * time.Second)
 	if n := most(200 * time.Second); n != 5 {
 		t.Errorf("with none taken outside %d were in use", n)
 	}
-	w.noneBroken(t)
+	w.checkNoBrokenRules(t)
 }
 
-// TestUnitsRank has priorities, reserves, team limits and shares decide who gets
-// units, and lesser work stopped where it holds what more urgent work needs.
+// TestUnitsRank checks that priorities, reserves and team limits decide which jobs get
+// units, and that work of low priority is stopped when it holds units that more urgent
+// work needs.
 func TestUnitsRank(t *testing.T) {
 	w := worldOf(Config{Seed: 101, Nodes: 3, Objectives: []settings.Objective{{Kind: "wait", Class: "c-ensemble", WithinS: 20, Share: 0.9}}})
 	w.At(2*time.Second, func() {
@@ -329,27 +331,28 @@
 	job("j-2", "free", "idle", 9)
 	w.Run(35 * time.Second)
 	if n := use("j-2"); n != 3 {
-		t.Errorf("%d tasks of low priority run: 2 units are red's and one is kept", n)
+		t.Errorf("%d tasks of low priority run: 2 units are in use by red and one is reserved", n)
 	}
 	job("j-3", "free", "high", 1)
 	w.Run(45 * time.Second)
 	if n := use("j-3"); n != 1 {
-		t.Errorf("the unit kept for high priority was not given")
+		t.Errorf("the unit reserved for high priority was not given")
 	}
-	// A gang of a prompt class needs three units that lesser work holds.
+	// A gang whose class has a wait objective needs three units that low-priority work holds.
 	w.Submit(Job{ID: "j-4", Kind: "ensemble", Team: "free", Urgency: "critical", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 1, RunS: 30, Units: map[string]int{"seat": 1}})
 	w.Run(65 * time.Second)
 	if n := use("j-4"); n != 3 {
-		t.Errorf("%d of 3 tasks of the urgent gang run, %d of the lesser", n, use("j-2"))
+		t.Errorf("%d of 3 tasks of the urgent gang run, %d of low priority", n, use("j-2"))
 	}
-	w.noneBroken(t)
+	w.checkNoBrokenRules(t)
 }
 
-// TestUnitsCrash crashes the leader around every write of starts, before the state
-// service has it and between it and the starts, and has users cancel at that instant:
-// the next leader knows who holds what.
+// TestUnitsCrash crashes the leader around every fourth write of starts, before the state
+// service has received it and between the write and the starts, and for half of the crashes
+// has users cancel these jobs at that moment. The next leader knows which job holds which
+// units, and all units are free in the end.
 func TestUnitsCrash(t *testing.T) {
-	for _, late := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond} {
+	for _, delay := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond} {
 		w := worldOf(Config{Seed: 102, Nodes: 3, Declared: []units.Declared{{Name: "seat", Count: 4}}})
 		w.units["seat"] = []unitCount{{0, 4}}
 		w.checkCancelled()
@@ -369,7 +372,7 @@
 			}
 			crashes++
 			body := string(c.Body)
-			w.after(late, func() {
+			w.after(delay, func() {
 				for i := range w.nodes {
 					if w.nodes[i].host == from {
 						w.Crash(i, 2*time.Second)
@@ -383,12 +386,12 @@
 			})
 		}
 		w.Run(400 * time.Second)
-		w.verdict(t, 10)
+		w.checkOutcome(t, 10)
 		if crashes < 5 {
 			t.Errorf("only %d crashes", crashes)
 		}
-		if b := w.books("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 4 {
-			t.Errorf("in the end the book has %+v", b.Live)
+		if b := w.resourceLedger("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 4 {
+			t.Errorf("at the end the ledger has %+v", b.Live)
 		}
 	}
 }
--- a/internal/sim/waiting_test.go
+++ b/internal/sim/waiting_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestWaitingCanFail has the checker for jobs that are left waiting say so: on a day without
-// controllers, for an array and for a gang, and not for what has no room, is over its team's
+// TestWaitingRule checks the simulator's own rule on waiting jobs. Without controllers it must
+// report an array and gangs that have room, and no job that has no room, is over its team's
 // limit or was cancelled.
-func TestWaitingCanFail(t *testing.T) {
+func TestWaitingRule(t *testing.T) {
 	w := world(5)
 	w.Run(10 * time.Second)
 	for i := range w.nodes {
@@ -21,9 +21,9 @@
 		"j-1": {kind: "sweep", team: "free", tasks: 3, cpus: 2},
 		"j-2": {kind: "ensemble", team: "free", tasks: 6, cpus: 16},
 		"j-3": {kind: "ensemble", team: "free", tasks: 7, cpus: 16},            // there are six machines
-		"j-4": {kind: "sweep", team: "free", tasks: 1, cpus: 17},               // none is so large
+		"j-4": {kind: "sweep", team: "free", tasks: 1, cpus: 17},               // no machine is so large
 		"j-5": {kind: "standing", team: "blue", tasks: 1, cpus: 1, gpus: 21},   // the limit is 20
-		"j-6": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, zone: "a"}, // two are there
+		"j-6": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, zone: "a"}, // zone a has two machines
 		"j-7": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, apart: true},
 		"j-8": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, samePlace: true},
 		"j-9": {kind: "sweep", team: "free", tasks: 3, cpus: 2, cancelAsked: true},
@@ -40,25 +40,25 @@
 	all := strings.Join(w.Violations, "\n")
 	for i := 1; i <= 9; i++ {
 		if want, has := i == 1 || i == 2 || i == 7, strings.Contains(all, fmt.Sprintf("j-%d ", i)); want != has {
-			t.Errorf("j-%d: left waiting %v, want %v", i, has, want)
+			t.Errorf("j-%d: reported as waiting: %v, want %v", i, has, want)
 		}
 	}
 }
 
-// failedWaiting are seeds of days that left jobs waiting once; they are played first.
-var failedWaiting = []uint64{25, 52, 59, 76, 82, 113}
+// waitingRegressionSeeds are seeds that once left jobs waiting. They run first.
+var waitingRegressionSeeds = []uint64{25, 52, 59, 76, 82, 113}
 
-// TestNobodyIsLeftWaiting draws days with what has work wait on purpose: jobs that look at
-// fault since machines are, machines set aside as slow or faulty, wide gangs among small work,
-// arrays bound to a zone that loses machines, teams at their limits, lost leaders, cuts. Once
-// the troubles are over no job waits for 90 s while there is room for it.
+// TestNobodyIsLeftWaiting draws random conditions that delay work: jobs that look faulty because
+// their machines are, machines set aside as slow or faulty, wide gangs among small work, arrays
+// bound to a zone that loses machines, teams at their limits, lost leaders and network cuts. Once
+// all faults are over no job may wait for 90 s while there is room for it.
 func TestNobodyIsLeftWaiting(t *testing.T) {
-	for _, s := range append(failedWaiting, seeds(t, 24)...) {
+	for _, s := range append(waitingRegressionSeeds, seeds(t, 24)...) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
 			w := world(60000 + s)
 			if s%3 == 0 {
-				w = seven(60000 + s)
+				w = sevenNodeWorld(60000 + s)
 			}
 			w.checkCancelled()
 			for i := range 90 {
@@ -66,7 +66,7 @@
 				w.At(w.randomSecs(3, 330), func() {
 					j := w.randomJob(id)
 					switch w.rng.IntN(5) {
-					case 0: // wide
+					case 0: // a wide gang
 						j.Kind, j.Tasks, j.CPUs, j.GPUs, j.Team, j.Apart = "ensemble", 3+w.rng.IntN(5), 16, 0, "free", false
 					case 1:
 						j.Kind, j.SamePlace, j.Apart, j.Zone = []string{"sweep", "standing"}[w.rng.IntN(2)], true, false, ""
@@ -83,7 +83,7 @@
 				w.At(w.randomSecs(10, 150), func() {
 					r, ms := w.rng, w.Machines()
 					switch r.IntN(7) {
-					case 0: // machines are faulty for a while: every task fails there
+					case 0: // some machines are faulty for a while: every task fails there
 						for _, m := range ms {
 							if r.IntN(2) == 0 {
 								m.failsTasks = true
@@ -120,8 +120,8 @@
 				})
 			}
 			w.Run(1200 * time.Second)
-			w.verdict(t, 30)
-			t.Logf("the longest wait beside room: %v", w.LongestWait)
+			w.checkOutcome(t, 30)
+			t.Logf("the longest wait while there was room: %v", w.LongestWait)
 		})
 	}
 }
--- a/internal/sim/zone_test.go
+++ b/internal/sim/zone_test.go
@@ -107,7 +107,7 @@
 	})
 	w.FaultsEndAt = from + lasts
 	w.Run(700 * time.Second)
-	w.verdict(t, 20)
+	w.checkOutcome(t, 20)
 	if on == 0 || told < 6 {
 		t.Errorf("seed %d: %d tasks in the zone, %d of 6 cancellations confirmed outside: the meeting did not come about", seed, on, told)
 	}
@@ -209,7 +209,7 @@
 				}
 				w.FaultsEndAt = from + max(c.lasts, time.Second)
 				w.Run(900 * time.Second)
-				w.verdict(t, 6)
+				w.checkOutcome(t, 6)
 				if hit < 3 || len(there) < 2 {
 					t.Errorf("seed %d: %d tasks of %d jobs were hit: the meeting did not come about", seed, hit, len(there))
 				}
