--- a/internal/sim/cancel_model_test.go
+++ b/internal/sim/cancel_model_test.go
@@ -5,122 +5,128 @@
 	"time"
 )
 
-// The model of a cancellation and its deadline, in steps of time: the leader that the task's
-// worker reports to, one that may be elected after it, another node through which the user
-// cancels, and the state service, which serves all, refuses the leader, or is down for all. The
-// machine may hang at any time, and may reach no controller while commands reach it.
+// This file models a cancellation and its deadline in steps of time. It has the leader to which
+// the task's worker reports, a leader that may be elected after it, another node through which
+// the user cancels, and the state service, which serves all, refuses the leader, or is down for
+// all. The machine may hang at any time. It may be unable to reach a controller while commands
+// still reach it.
 
-// Times in steps. A lease runs from when the report was sent; the hold and the lease together
-// are as long as a cancellation has: whatever is there after more than cCancel steps was there
-// for at least a step too long.
+// Times in steps. A lease runs from the time when the report was sent. The hold is how long a
+// leader answers workers without a fresh proof that it leads. The hold and the lease together
+// must fit into the time for a cancellation: a task that runs more than cancelModelDeadline steps
+// after the confirmation has run for at least one step too long.
 const (
-	cLease, cHold = 3, 2
-	cCancel       = cLease + cHold - 1
-	// A worker waits so long for the answer to a report.
-	cPatience = 1
+	cancelModelLease, cancelModelHold = 3, 2
+	cancelModelDeadline               = cancelModelLease + cancelModelHold - 1
+	// How long a worker waits for the answer to a report.
+	cancelModelReportTimeout = 1
 )
 
-// cVariant is what a model has besides the first leader.
-type cVariant uint8
+// cancelModelVariant selects what the model has besides the first leader.
+type cancelModelVariant uint8
 
 const (
-	cNext  cVariant = iota // the next leader
-	cPeers                 // what the others tell the first one
-	cHop                   // a controller that passes the worker's reports on, and the next leader
+	variantNextLeader cancelModelVariant = iota // a next leader
+	variantPeers                                // the answers of the other controllers to the first leader
+	variantForwarder                            // a controller that forwards the worker's reports, and a next leader
 )
 
-// cReport is a report at a controller that passes it on.
-type cReport struct {
-	sent     int8 // steps since the worker sent it, -1: there is none
-	answered bool // the leader has, and the answer is under way
-	stops    bool // the answer says stop
-	by       int8 // which leader's
+// cancelModelReport is a report that a controller forwards to the leader.
+type cancelModelReport struct {
+	sentAgo  int8 // steps since the worker sent it, -1: there is no report
+	answered bool // the leader has answered, and the answer is in flight
+	stop     bool // the answer tells the worker to stop the task
+	leader   int8 // the leader that answered
 }
 
-type cLeader struct {
-	leads bool
-	knows bool // of the cancellation
-	proof int8 // steps since the question was sent whose answer proved that it leads
-	asked int8 // steps since a question was sent that has no answer yet, -1: none
-	// Whether the question was asked after the cancellation, so that its answer brings it.
-	askedAfter bool
-	clear      int8 // steps since a question to the others whose answer said that it knows all
-	peer       int8 // steps since a question was sent to the others, -1: none under way
-	peerKnows  bool // what was answered, at some moment since, includes the cancellation
-	answered   bool // the others have answered; the answer is under way
+// cancelModelLeader is the state of a leader. Ages count steps.
+type cancelModelLeader struct {
+	leads             bool
+	knowsCancellation bool
+	proofAge          int8 // since it sent the question whose answer proved that it leads
+	questionAge       int8 // since it sent a question that has no answer yet, -1: none
+	// Whether the question was sent after the cancellation, so that its answer includes it.
+	askedAfterCancellation bool
+	peerProofAge           int8 // since it sent the question by whose answers it knows of all cancellations
+	peerQuestionAge        int8 // since it sent a question to the other controllers, -1: none in flight
+	peerAnswerKnows        bool // the answer to it includes the cancellation
+	peerAnswered           bool // the others have answered, and the answer is in flight
 }
 
-type cState struct {
-	service  int8 // 0 serves all, 1 refuses the first leader, 2 is down
-	told     int8 // steps since the user was told, -1: not yet
-	elected  bool
-	running  bool
-	hung     bool // the machine hangs: its task neither goes on nor ends until it does
-	lease    int8 // steps left
-	token    int8 // that the worker has seen
-	leaders  [2]cLeader
-	otherCut bool // the other node is cut from the leaders
-	report   cReport
+// cancelModelState is a state of the whole model.
+type cancelModelState struct {
+	service      int8 // 0 serves all, 1 refuses the first leader, 2 is down
+	confirmedAgo int8 // steps since the user got the confirmation, -1: not yet
+	nextElected  bool
+	running      bool
+	hung         bool // the machine hangs: its task makes no progress and doesn't end until it resumes
+	lease        int8 // steps left
+	token        int8 // the highest that the worker has seen
+	leaders      [2]cancelModelLeader
+	peerCut      bool // the other node is cut from the leaders
+	report       cancelModelReport
 }
 
-type cGuards struct {
-	hold   int8 // how long a leader without a proof answers
-	asked  bool // a proof counts from its question
-	order  bool // a leader that knows stops the task
-	clears bool // an answer of the others counts from its question
-	learns bool // and what they know is learned
-	all    bool // all others have to be heard
-	wakes  bool // a machine that goes on looks at its lease first
-	passes bool // a controller answers nothing by itself
-	sent   bool // a lease counts from when the report was sent, not from when its answer comes
+// cancelModelConditions are the protocol's conditions. The test disables them one by one.
+type cancelModelConditions struct {
+	hold                  int8 // how long a leader answers without a fresh proof
+	proofFromQuestion     bool // a proof counts from when its question was sent
+	stopCommands          bool // a leader that knows of the cancellation stops the task
+	peerProofFromQuestion bool // an answer of the others counts from when its question was sent
+	learnFromPeers        bool // the leader learns the cancellations that the others know
+	allPeers              bool // all others have to answer
+	leaseCheckOnResume    bool // a machine that resumes checks its lease first
+	forwardAll            bool // a controller that doesn't lead answers no report by itself
+	leaseFromSent         bool // a lease counts from when the report was sent, not from when its answer arrives
 }
 
-// passOn is what happens to a report at a controller that passes it on.
-func (s cState) passOn(g cGuards, do func(what string, n cState)) {
+// forEachForwarding calls do with each state that the forwarding of a report can lead to.
+func (s cancelModelState) forEachForwarding(g cancelModelConditions, do func(what string, n cancelModelState)) {
 	r := s.report
-	if r.sent < 0 {
+	if r.sentAgo < 0 {
 		if !s.hung {
 			n := s
-			n.report = cReport{}
+			n.report = cancelModelReport{}
 			do("sends a report", n)
 		}
 		return
 	}
 	n := s
-	n.report = cReport{sent: -1}
+	n.report = cancelModelReport{sentAgo: -1}
 	do("the report or its answer is lost", n)
 	if !r.answered {
 		for i, l := range s.leaders {
-			if l.leads && min(l.proof, l.clear) <= g.hold {
+			if l.leads && min(l.proofAge, l.peerProofAge) <= g.hold {
 				n := s
-				n.report.answered, n.report.stops, n.report.by = true, l.knows && g.order, int8(i)
-				do("a leader answers what was passed on", n)
+				n.report.answered, n.report.stop, n.report.leader = true, l.knowsCancellation && g.stopCommands, int8(i)
+				do("a leader answers the forwarded report", n)
 			}
 		}
-		if !g.passes {
+		if !g.forwardAll {
 			n := s
-			n.report.answered, n.report.by = true, s.token
-			do("the controller answers by itself", n)
+			n.report.answered, n.report.leader = true, s.token
+			do("the forwarding controller answers by itself", n)
 		}
 		return
 	}
-	if s.hung || r.sent > cPatience || r.by < s.token {
-		return // dropped
+	if s.hung || r.sentAgo > cancelModelReportTimeout || r.leader < s.token {
+		return // the worker drops the answer
 	}
-	n.token, n.lease = r.by, cLease-r.sent
-	if !g.sent {
-		n.lease = cLease
+	n.token, n.lease = r.leader, cancelModelLease-r.sentAgo
+	if !g.leaseFromSent {
+		n.lease = cancelModelLease
 	}
-	if r.stops {
+	if r.stop {
 		n.running = false
 	}
 	do("the worker gets the answer", n)
 }
 
-func (s cState) next(g cGuards, v cVariant, do func(what string, n cState)) {
-	peers := v == cPeers
-	if v == cHop {
-		s.passOn(g, do)
+// forEachSuccessor calls do with each state that one event can lead to.
+func (s cancelModelState) forEachSuccessor(g cancelModelConditions, v cancelModelVariant, do func(what string, n cancelModelState)) {
+	peers := v == variantPeers
+	if v == variantForwarder {
+		s.forEachForwarding(g, do)
 	}
 	for v := range int8(3) {
 		if v != s.service {
@@ -131,24 +137,24 @@
 	}
 	n := s
 	n.hung = !s.hung
-	if s.hung && s.lease == 0 && g.wakes {
+	if s.hung && s.lease == 0 && g.leaseCheckOnResume {
 		n.running = false
 	}
-	do(map[bool]string{false: "hangs", true: "goes on"}[s.hung], n)
+	do(map[bool]string{false: "hangs", true: "resumes"}[s.hung], n)
 	n = s
 	if peers {
-		n.otherCut = !s.otherCut
+		n.peerCut = !s.peerCut
 		do("cut between the nodes", n)
 	}
-	if s.told < 0 && s.service < 2 { // through the other node
+	if s.confirmedAgo < 0 && s.service < 2 { // through the node that doesn't lead
 		n := s
-		n.told = 0
-		do("the user is told", n)
+		n.confirmedAgo = 0
+		do("the user gets the confirmation", n)
 	}
-	if !s.elected && s.service < 2 && s.leaders[0].proof > 0 {
+	if !s.nextElected && s.service < 2 && s.leaders[0].proofAge > 0 {
 		n := s
-		n.elected = true
-		n.leaders[1] = cLeader{leads: !peers, knows: s.told >= 0, asked: -1, clear: 100, peer: -1}
+		n.nextElected = true
+		n.leaders[1] = cancelModelLeader{leads: !peers, knowsCancellation: s.confirmedAgo >= 0, questionAge: -1, peerProofAge: 100, peerQuestionAge: -1}
 		do("another is elected", n)
 	}
 	for i := range s.leaders {
@@ -158,88 +164,88 @@
 		}
 		n := s
 		n.leaders[i].leads = false
-		do("a leader hears of another, or ends", n)
+		do("a leader learns of another, or ends", n)
 		serves := s.service == 0 || s.service == 1 && i == 1
-		if l.asked < 0 && serves && (i == 1 || !s.elected) {
+		if l.questionAge < 0 && serves && (i == 1 || !s.nextElected) {
 			n := s
-			n.leaders[i].asked, n.leaders[i].askedAfter = 0, s.told >= 0
+			n.leaders[i].questionAge, n.leaders[i].askedAfterCancellation = 0, s.confirmedAgo >= 0
 			do("asks whether it leads", n)
 		}
-		if l.asked > 0 && i == 1 {
-			continue // its answers come at once: the first one's vary
+		if l.questionAge > 0 && i == 1 {
+			continue // its answers come within the step; only the first leader's are delayed
 		}
-		if l.asked >= 0 { // the answer comes late, whatever the service does by now
+		if l.questionAge >= 0 { // the answer may come late, when the service is in another state
 			n := s
 			x := &n.leaders[i]
-			x.proof, x.knows, x.asked = l.asked, l.knows || l.askedAfter, -1
-			if !g.asked {
-				x.proof = 0
+			x.proofAge, x.knowsCancellation, x.questionAge = l.questionAge, l.knowsCancellation || l.askedAfterCancellation, -1
+			if !g.proofFromQuestion {
+				x.proofAge = 0
 			}
 			do("proof", n)
 			n.leaders[i] = l
-			n.leaders[i].asked = -1
+			n.leaders[i].questionAge = -1
 			do("proof lost", n)
 		}
-		if peers && l.peer < 0 && !s.otherCut {
+		if peers && l.peerQuestionAge < 0 && !s.peerCut {
 			n := s
-			n.leaders[i].peer, n.leaders[i].answered = 0, false
+			n.leaders[i].peerQuestionAge, n.leaders[i].peerAnswered = 0, false
 			do("asks the others", n)
 		}
-		if l.peer >= 0 && !l.answered && (!s.otherCut || !g.all) && (i == 1 || !s.elected) {
+		if l.peerQuestionAge >= 0 && !l.peerAnswered && (!s.peerCut || !g.allPeers) && (i == 1 || !s.nextElected) {
 			n := s
-			n.leaders[i].answered, n.leaders[i].peerKnows = true, s.told >= 0 && !s.otherCut
+			n.leaders[i].peerAnswered, n.leaders[i].peerAnswerKnows = true, s.confirmedAgo >= 0 && !s.peerCut
 			do("the others answer", n)
 		}
-		if l.peer >= 0 && l.answered {
+		if l.peerQuestionAge >= 0 && l.peerAnswered {
 			n := s
 			x := &n.leaders[i]
-			x.clear, x.peer, x.answered = l.peer, -1, false
-			x.knows = l.knows || l.peerKnows && g.learns
-			if !g.clears {
-				x.clear = 0
+			x.peerProofAge, x.peerQuestionAge, x.peerAnswered = l.peerQuestionAge, -1, false
+			x.knowsCancellation = l.knowsCancellation || l.peerAnswerKnows && g.learnFromPeers
+			if !g.peerProofFromQuestion {
+				x.peerProofAge = 0
 			}
-			do("hears the others", n)
+			do("receives the others' answer", n)
 		}
-		if !s.hung && l.knows && g.order && int8(i) >= s.token { // one that reaches no controller hears it, too
+		if !s.hung && l.knowsCancellation && g.stopCommands && int8(i) >= s.token { // a worker that reaches no controller receives it, too
 			n := s
 			n.running, n.token = false, int8(i)
 			do("a command to stop", n)
 		}
-		if v != cHop && !s.hung && min(l.proof, l.clear) <= g.hold && int8(i) >= s.token { // a report is answered
+		if v != variantForwarder && !s.hung && min(l.proofAge, l.peerProofAge) <= g.hold && int8(i) >= s.token { // the leader may answer a report
 			n := s
-			n.lease, n.token = cLease, int8(i)
-			if l.knows && g.order {
+			n.lease, n.token = cancelModelLease, int8(i)
+			if l.knowsCancellation && g.stopCommands {
 				n.running = false
 			}
 			do([]string{"answers a report", "the next answers a report"}[i], n)
 		}
 	}
 	n = s
-	if n.report.sent >= 0 {
-		if n.report.sent++; n.report.sent > cPatience+1 {
-			n.report = cReport{sent: -1}
+	if n.report.sentAgo >= 0 {
+		if n.report.sentAgo++; n.report.sentAgo > cancelModelReportTimeout+1 {
+			n.report = cancelModelReport{sentAgo: -1}
 		}
 	}
-	if n.told >= 0 {
-		n.told = min(n.told+1, cCancel+1)
+	if n.confirmedAgo >= 0 {
+		n.confirmedAgo = min(n.confirmedAgo+1, cancelModelDeadline+1)
 	}
 	for i := range n.leaders {
 		l := &n.leaders[i]
-		l.proof, l.clear = min(l.proof+1, 100), min(l.clear+1, 100)
-		if l.proof > g.hold {
-			l.proof = 100
+		l.proofAge, l.peerProofAge = min(l.proofAge+1, 100), min(l.peerProofAge+1, 100)
+		if l.proofAge > g.hold {
+			l.proofAge = 100
 		}
-		if l.clear > g.hold {
-			l.clear = 100
+		if l.peerProofAge > g.hold {
+			l.peerProofAge = 100
 		}
-		if l.asked >= 0 {
-			if l.asked++; l.asked > 2 {
-				l.asked = -1 // given up
+		if l.questionAge >= 0 {
+			if l.questionAge++; l.questionAge > 2 {
+				l.questionAge = -1 // it gives up waiting
 			}
 		}
-		if l.peer >= 0 {
-			if l.peer++; l.peer > 2 {
-				l.peer = -1
+		if l.peerQuestionAge >= 0 {
+			if l.peerQuestionAge++; l.peerQuestionAge > 2 {
+				l.peerQuestionAge = -1
 			}
 		}
 	}
@@ -249,81 +255,82 @@
 	do("a step", n)
 }
 
-// exploreCancel goes through all states of a variant.
-func exploreCancel(g cGuards, v cVariant, most int) (states int, way []string) {
-	start := cState{running: true, lease: cLease, told: -1, report: cReport{sent: -1}}
-	start.leaders[0] = cLeader{leads: true, asked: -1, clear: 100, peer: -1}
+// exploreCancelModel visits up to maxStates states of a variant. It returns their number and the first
+// trace to a state in which the task has run past the deadline of its cancellation.
+func exploreCancelModel(g cancelModelConditions, v cancelModelVariant, maxStates int) (states int, trace []string) {
+	start := cancelModelState{running: true, lease: cancelModelLease, confirmedAgo: -1, report: cancelModelReport{sentAgo: -1}}
+	start.leaders[0] = cancelModelLeader{leads: true, questionAge: -1, peerProofAge: 100, peerQuestionAge: -1}
 	type from struct {
-		s    cState
+		s    cancelModelState
 		what string
 	}
-	seen := map[cState]from{start: {}}
-	for queue := []cState{start}; len(queue) > 0 && len(seen) < most; queue = queue[1:] {
+	seen := map[cancelModelState]from{start: {}}
+	for queue := []cancelModelState{start}; len(queue) > 0 && len(seen) < maxStates; queue = queue[1:] {
 		s := queue[0]
 		if !s.running {
 			continue
 		}
-		var bad *cState
-		s.next(g, v, func(what string, n cState) {
+		var bad *cancelModelState
+		s.forEachSuccessor(g, v, func(what string, n cancelModelState) {
 			if _, ok := seen[n]; ok || bad != nil {
 				return
 			}
 			seen[n] = from{s, what}
 			queue = append(queue, n)
-			if n.running && !n.hung && n.told > cCancel {
+			if n.running && !n.hung && n.confirmedAgo > cancelModelDeadline {
 				bad = &n
 			}
 		})
 		if bad != nil {
 			for at := *bad; at != start; at = seen[at].s {
-				way = append([]string{seen[at].what}, way...)
+				trace = append([]string{seen[at].what}, trace...)
 			}
-			return len(seen), way
+			return len(seen), trace
 		}
 	}
 	return len(seen), nil
 }
 
-// TestCancelModel proves of the model that a task whose cancellation was confirmed is gone in
-// time, whatever the state service and the other nodes answer and when, and that it would not
-// be with any of the conditions taken out.
+// TestCancelModel checks that a task in the model ends before the deadline of its confirmed
+// cancellation, for all answers of the state service and the other nodes and at all times, and
+// that it runs longer if any of the conditions is disabled.
 func TestCancelModel(t *testing.T) {
-	all := cGuards{hold: cHold, asked: true, order: true, clears: true, learns: true, all: true, wakes: true, passes: true, sent: true}
-	const most = 4_000_000
-	for _, v := range []cVariant{cNext, cPeers, cHop} {
-		begun := time.Now()
-		n, way := exploreCancel(all, v, most)
-		if way != nil || n >= most {
-			t.Fatalf("variant %d, %d states: the task outlives its cancellation: %v", v, n, way)
+	all := cancelModelConditions{hold: cancelModelHold, proofFromQuestion: true, stopCommands: true, peerProofFromQuestion: true, learnFromPeers: true, allPeers: true, leaseCheckOnResume: true, forwardAll: true, leaseFromSent: true}
+	const maxStates = 4_000_000
+	for _, v := range []cancelModelVariant{variantNextLeader, variantPeers, variantForwarder} {
+		began := time.Now()
+		n, trace := exploreCancelModel(all, v, maxStates)
+		if trace != nil || n >= maxStates {
+			t.Fatalf("variant %d, %d states: the task runs past the deadline of its cancellation: %v", v, n, trace)
 		}
-		t.Logf("variant %d: %d states in %v", v, n, time.Since(begun).Round(time.Millisecond))
+		t.Logf("variant %d: %d states in %v", v, n, time.Since(began).Round(time.Millisecond))
 	}
 	for _, c := range []struct {
 		name    string
-		variant cVariant
-		out     func(g *cGuards)
+		variant cancelModelVariant
+		disable func(g *cancelModelConditions)
 	}{
-		{"the end of the hold", cNext, func(g *cGuards) { g.hold = 50 }},
-		{"a hold that fits", cNext, func(g *cGuards) { g.hold++ }},
-		{"counting a proof from its question", cNext, func(g *cGuards) { g.asked = false }},
-		{"orders to stop", cNext, func(g *cGuards) { g.order = false }},
-		{"counting the others' answers from the question", cPeers, func(g *cGuards) { g.clears = false }},
-		{"learning what the others know", cPeers, func(g *cGuards) { g.learns = false }},
-		{"a look at the lease when a machine goes on", cNext, func(g *cGuards) { g.wakes = false }},
-		{"hearing all others", cPeers, func(g *cGuards) { g.all = false }},
-		{"passing every report on", cHop, func(g *cGuards) { g.passes = false }},
-		{"counting a lease from when the report was sent", cHop, func(g *cGuards) { g.sent = false }},
-		{"a hold that fits, with the hop", cHop, func(g *cGuards) { g.hold++ }},
-		{"counting a proof from its question, with the hop", cHop, func(g *cGuards) { g.asked = false }},
-		{"orders to stop, with the hop", cHop, func(g *cGuards) { g.order = false }},
-		{"a look at the lease when a machine goes on, with the hop", cHop, func(g *cGuards) { g.wakes = false }},
+		{"the end of the hold", variantNextLeader, func(g *cancelModelConditions) { g.hold = 50 }},
+		{"a hold that fits into the deadline", variantNextLeader, func(g *cancelModelConditions) { g.hold++ }},
+		{"counting a proof from its question", variantNextLeader, func(g *cancelModelConditions) { g.proofFromQuestion = false }},
+		{"commands to stop", variantNextLeader, func(g *cancelModelConditions) { g.stopCommands = false }},
+		{"counting the others' answers from the question", variantPeers, func(g *cancelModelConditions) { g.peerProofFromQuestion = false }},
+		{"learning what the others know", variantPeers, func(g *cancelModelConditions) { g.learnFromPeers = false }},
+		{"a lease check when a machine resumes", variantNextLeader, func(g *cancelModelConditions) { g.leaseCheckOnResume = false }},
+		{"hearing from all others", variantPeers, func(g *cancelModelConditions) { g.allPeers = false }},
+		{"forwarding every report", variantForwarder, func(g *cancelModelConditions) { g.forwardAll = false }},
+		{"counting a lease from when the report was sent", variantForwarder, func(g *cancelModelConditions) { g.leaseFromSent = false }},
+		{"a hold that fits into the deadline, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.hold++ }},
+		{"counting a proof from its question, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.proofFromQuestion = false }},
+		{"commands to stop, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.stopCommands = false }},
+		{"a lease check when a machine resumes, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.leaseCheckOnResume = false }},
 	} {
 		g := all
-		c.out(&g)
-		n, way := exploreCancel(g, c.variant, most)
-		if way == nil {
-			t.Errorf("without %s nothing happens in %d states", c.name, n)
+		c.disable(&g)
+		n, trace := exploreCancelModel(g, c.variant, maxStates)
+		if trace == nil {
+			t.Errorf("without %s the task always ends in time in %d states", c.name, n)
 		}
-		t.Logf("without %s: after %d states %v", c.name, n, way)
+		t.Logf("without %s: after %d states %v", c.name, n, trace)
 	}
 }
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestChecksCanFail breaks each rule on purpose, in the stand-ins' own truth,
-// and expects the check to say so.
+// TestChecksCanFail breaks each rule on purpose in the stand-ins' state and expects the rule's
+// check to report it.
 func TestChecksCanFail(t *testing.T) {
 	for rule, breakIt := range map[string]func(w *World, m []*Machine){
 		"ran_twice": func(w *World, m []*Machine) {
@@ -53,7 +53,7 @@
 			j.id, j.requested, j.accepted, j.results, j.saved = id, true, true, map[int]bool{}, map[int]time.Duration{}
 			w.jobs[id] = j
 		}
-		// The controllers are away, so that only what is done here counts.
+		// All controllers are down, so that only the changes made here have an effect.
 		if rule != "forgotten" {
 			for i := range 3 {
 				w.Crash(i, time.Hour)
@@ -63,7 +63,7 @@
 		breakIt(w, m)
 		w.Run(w.Now() + 5*time.Second)
 		if !strings.Contains(strings.Join(w.Violations, "\n"), rule) {
-			t.Errorf("%s was broken unnoticed: %v", rule, w.Violations)
+			t.Errorf("%s was broken, but no check reported it: %v", rule, w.Violations)
 		}
 	}
 }
--- a/internal/sim/confirmed_test.go
+++ b/internal/sim/confirmed_test.go
@@ -8,50 +8,49 @@
 	"brooklb/internal/actor"
 )
 
-// confirmed is the meeting before all others: the state service refuses the leader alone,
-// another controller confirms cancellations to users, then the service is down for all for
-// longer than a cancellation has, while the workers go on reporting to the old leader.
-type confirmed struct {
+// confirmedCase is a sequence of faults: the state service refuses the leader alone, another
+// controller confirms cancellations to users, and then the service is down for all for longer than
+// cancel_s, while the workers still report to the old leader.
+type confirmedCase struct {
 	name  string
 	nodes int // 0: 3
-	// The leader is refused for so long, a cancellation is asked for after so long, the
-	// outage begins after so long, all from the beginning of the refusal. The outage lasts
-	// for so long.
-	refused, asked, outage, lasts time.Duration
-	front                         string        // who is asked: a follower, the old leader, the new one
-	peers                         bool          // the old leader is cut from the others, too
-	deafTo                        bool          // the workers reach only the old leader
-	freeze                        time.Duration // it is paused in the outage
-	late                          time.Duration // the confirmation's write is answered so late
-	twice                         bool          // and carried out a second time
-	crash                         bool          // the old leader ends in the outage, and is back
-	cancel                        time.Duration // cancel_s; 0: 58 s
-	skew                          float64       // of the old leader's clock, against that of the others
-	told                          time.Duration // by how much longer the controllers think cancel_s to be
+	// How long the state service refuses the leader; when users cancel and when the outage
+	// begins, both from the beginning of the refusal; how long the outage lasts, 0: 75 s.
+	refusedFor, cancelAfter, outageAfter, outageLasts time.Duration
+	askedNode                                         string        // who gets the cancellations: "" a follower, "old" or "new" that leader
+	cutFromPeers                                      bool          // the old leader is also cut from the other controllers
+	workersReachOldOnly                               bool          // the workers reach only the old leader
+	pausedFor                                         time.Duration // how long the old leader is paused in the outage
+	answerDelay                                       time.Duration // how late the write of a cancellation is answered
+	duplicateWrite                                    bool          // that write is carried out a second time
+	oldCrashes                                        bool          // the old leader crashes in the outage and restarts
+	cancelDeadline                                    time.Duration // cancel_s; 0: 58 s
+	skew                                              float64       // of the old leader's clock, and the opposite for the others
+	assumedLonger                                     time.Duration // by how much the controllers assume cancel_s to be longer than it is
 }
 
-const s = time.Second
+const second = time.Second // shortens the tables below
 
-// play plays the day and returns the world, and how many tasks of cancelled jobs ran when
+// run simulates the case. It returns the simulation, and how many tasks of cancelled jobs ran when
 // their cancellation was confirmed.
-func (c confirmed) play(t *testing.T, seed uint64) (w *World, running int) {
+func (c confirmedCase) run(t *testing.T, seed uint64) (w *World, running int) {
 	t.Helper()
-	cfg := Config{Seed: seed, Nodes: c.nodes, Cancel: c.cancel, CancelOverstatement: c.told}
+	cfg := Config{Seed: seed, Nodes: c.nodes, Cancel: c.cancelDeadline, CancelOverstatement: c.assumedLonger}
 	if cfg.Nodes == 0 {
 		cfg.Nodes = 3
 	}
 	w = worldOf(cfg)
 	w.checkCancelled()
-	const start = 60 * s
-	if c.lasts == 0 {
-		c.lasts = 75 * s
+	const start = 60 * second
+	if c.outageLasts == 0 {
+		c.outageLasts = 75 * second
 	}
 	old := -1
 	w.UserNode = func() int {
-		if old < 0 || w.now > start+c.outage {
+		if old < 0 || w.now > start+c.outageAfter {
 			return -1
 		}
-		switch c.front {
+		switch c.askedNode {
 		case "old":
 			return old
 		case "new":
@@ -63,14 +62,14 @@
 		j.ID, j.Team, j.Image, j.ImageGB, j.RunS = id, "free", "i", 0.1, 4000
 		w.Submit(j)
 	}
-	w.At(5*s, func() {
+	w.At(5*second, func() {
 		job("j-1", Job{Kind: "sweep", Tasks: 12, CPUs: 2})
 		job("j-2", Job{Kind: "ensemble", Tasks: 3, CPUs: 2, SnapshotS: 20, SaveS: 4})
 		job("j-3", Job{Kind: "standing", Tasks: 4, CPUs: 1})
 		job("j-4", Job{Kind: "sweep", Tasks: 6, CPUs: 2, SnapshotS: 20, SaveS: 4})
-		job("j-5", Job{Kind: "sweep", Tasks: 12, CPUs: 2}) // goes on
+		job("j-5", Job{Kind: "sweep", Tasks: 12, CPUs: 2}) // not cancelled
 	})
-	answered, reports, gone := 0, 0, 0
+	answered, reports, confirmed := 0, 0, 0
 	w.At(start, func() {
 		old = w.Leader()
 		if c.skew != 0 {
@@ -81,87 +80,87 @@
 				}
 			}
 		}
-		w.State.RefuseNode(w.NodeName(old), c.refused)
-		if c.peers {
-			w.CutPeers(old, 40*s, true)
+		w.State.RefuseNode(w.NodeName(old), c.refusedFor)
+		if c.cutFromPeers {
+			w.CutPeers(old, 40*second, true)
 		}
-		if c.deafTo {
+		if c.workersReachOldOnly {
 			for _, m := range w.Machines() {
 				for i := range w.nodes {
 					if i != old {
-						w.Cut(w.NodeName(i), m.Name, 200*s, false)
+						w.Cut(w.NodeName(i), m.Name, 200*second, false)
 					}
 				}
 			}
 		}
 	})
 	w.AnswerDelay = func(from string, a actor.Call) time.Duration {
-		if c.late > 0 && w.now > start+c.asked && w.now < start+c.outage && a.Path == "/commit" && len(a.Body) > 300 && from != w.NodeName(old) {
-			return c.late
+		if c.answerDelay > 0 && w.now > start+c.cancelAfter && w.now < start+c.outageAfter && a.Path == "/commit" && len(a.Body) > 300 && from != w.NodeName(old) {
+			return c.answerDelay
 		}
 		return 0
 	}
 	w.OnSend = func(from string, a actor.Call) {
-		if old >= 0 && a.Path == "/hello" && a.Addr == w.nodes[old].addr && w.now > start+c.outage && w.now < start+c.outage+c.lasts {
+		if old >= 0 && a.Path == "/hello" && a.Addr == w.nodes[old].addr && w.now > start+c.outageAfter && w.now < start+c.outageAfter+c.outageLasts {
 			reports++
 		}
-		if c.twice && w.now > start+c.asked && a.Path == "/commit" && a.Addr == stateAddr && from != w.NodeName(max(0, old)) {
+		if c.duplicateWrite && w.now > start+c.cancelAfter && a.Path == "/commit" && a.Addr == stateAddr && from != w.NodeName(max(0, old)) {
 			body := append([]byte(nil), a.Body...)
 			w.after(w.randomSecs(0.3, 5), func() { w.State.serve(from, "POST", "/commit", body, func(int, []byte) {}) })
 		}
 	}
-	w.At(start+c.asked, func() {
+	w.At(start+c.cancelAfter, func() {
 		answered = w.Answered[old]
 		for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} {
 			w.cancel(w.jobs[id])
-			if c.front == "new" { // which stops them before it answers
-				running += w.jobs[id].onMachines(w)
+			if c.askedNode == "new" { // the new leader stops the tasks before it answers
+				running += w.jobs[id].tasksOnMachines(w)
 			}
 		}
 	})
-	var look func()
+	var watchConfirmations func()
 	seen := map[string]bool{}
-	look = func() { // as soon as a user was told
-		w.after(10*time.Millisecond, look)
+	watchConfirmations = func() {
+		w.after(10*time.Millisecond, watchConfirmations)
 		for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} {
 			j := w.jobs[id]
 			if j.cancelledAt == 0 || seen[id] {
 				continue
 			}
 			seen[id] = true
-			if c.front != "new" {
-				running += j.onMachines(w)
+			if c.askedNode != "new" {
+				running += j.tasksOnMachines(w)
 			}
 		}
 	}
-	w.At(start+c.asked, look)
-	w.At(start+c.outage, func() {
-		w.State.Outage(c.lasts)
+	w.At(start+c.cancelAfter, watchConfirmations)
+	w.At(start+c.outageAfter, func() {
+		w.State.Outage(c.outageLasts)
 		for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} {
 			if w.jobs[id].cancelledAt > 0 {
-				gone++
+				confirmed++
 			}
 		}
 	})
-	if c.freeze > 0 {
-		w.At(start+c.outage+4*s, func() { w.Freeze(old, c.freeze) })
+	if c.pausedFor > 0 {
+		w.At(start+c.outageAfter+4*second, func() { w.Freeze(old, c.pausedFor) })
 	}
-	if c.crash {
-		w.At(start+c.outage+6*s, func() { w.Crash(old, 2*s) })
+	if c.oldCrashes {
+		w.At(start+c.outageAfter+6*second, func() { w.Crash(old, 2*second) })
 	}
-	w.Run(start + c.outage + c.lasts + 5*s)
-	if gone < 4 || running == 0 {
-		t.Errorf("%s, seed %d: %d of 4 cancellations were confirmed before the outage, %d tasks ran then: the meeting did not happen", c.name, seed, gone, running)
+	w.Run(start + c.outageAfter + c.outageLasts + 5*second)
+	if confirmed < 4 || running == 0 {
+		t.Errorf("%s, seed %d: %d of 4 cancellations were confirmed before the outage, %d tasks ran then: the simulation did not reach the state under test", c.name, seed, confirmed, running)
 	}
-	if n := w.Answered[old] - answered; !c.gaveWay() && (reports == 0 || n == 0 && w.cancelDeadline() > w.lease()+6*s) {
-		t.Errorf("%s, seed %d: %d reports came to the old leader in the outage, %d were answered: the meeting did not happen", c.name, seed, reports, n)
+	if n := w.Answered[old] - answered; !c.oldLeaderReplaced() && (reports == 0 || n == 0 && w.cancelDeadline() > w.lease()+6*second) {
+		t.Errorf("%s, seed %d: %d reports arrived at the old leader in the outage, %d were answered: the simulation did not reach the state under test", c.name, seed, reports, n)
 	}
-	w.Run(400 * s)
+	w.Run(400 * second)
 	return w, running
 }
 
-// onMachines is how many of the job's tasks are on a machine.
-func (j *userJob) onMachines(w *World) (n int) {
+// tasksOnMachines counts the job's tasks that are on a machine.
+func (j *userJob) tasksOnMachines(w *World) (n int) {
 	for _, r := range j.runners() {
 		if r.onMachine() {
 			n++
@@ -170,45 +169,49 @@
 	return n
 }
 
-// gaveWay: the old leader hears of a new one before the outage, and the workers leave it.
-func (c confirmed) gaveWay() bool { return c.outage > 5*s && !c.peers || c.crash }
+// oldLeaderReplaced reports whether the workers leave the old leader, since it learns of a new one
+// before the outage or crashes.
+func (c confirmedCase) oldLeaderReplaced() bool {
+	return c.outageAfter > 5*second && !c.cutFromPeers || c.oldCrashes
+}
 
-func confirmedDays() []confirmed {
-	return []confirmed{
-		{name: "no other is elected", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s},
-		{name: "in the last moment", refused: 2500 * time.Millisecond, asked: 2200 * time.Millisecond, outage: 2500 * time.Millisecond},
-		{name: "refused all the time", refused: 150 * s, asked: 300 * time.Millisecond, outage: 2 * s},
-		{name: "another is elected", refused: 150 * s, asked: 5 * s, outage: 9 * s, front: "new"},
-		{name: "another is elected, a follower is asked", refused: 150 * s, asked: 300 * time.Millisecond, outage: 7 * s},
-		{name: "cut from the others", refused: 150 * s, asked: 5 * s, outage: 9 * s, front: "new", peers: true, deafTo: true},
-		{name: "cut from the others, asked before the next is elected", refused: 150 * s, asked: 200 * time.Millisecond, outage: 12 * s, peers: true, deafTo: true},
-		{name: "passed on by the refused node", refused: 150 * s, asked: 200 * time.Millisecond, outage: 1500 * time.Millisecond, front: "old"},
-		{name: "the write is answered late", refused: 2 * s, asked: 50 * time.Millisecond, outage: 2 * s, late: 600 * time.Millisecond},
-		{name: "the write comes twice", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, twice: true},
-		{name: "is paused", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, freeze: 14 * s},
-		{name: "is paused for a lease", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, freeze: 30 * s},
-		{name: "ends and is back", refused: 150 * s, asked: 300 * time.Millisecond, outage: 2 * s, crash: true},
-		{name: "the outage ends just before the hold", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, lasts: 21 * s},
-		{name: "the outage ends just after the hold", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, lasts: 23 * s},
-		{name: "the outage ends as the leases do", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, lasts: 53 * s},
-		{name: "seven controllers", nodes: 7, refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s},
-		{name: "seven, cut from the others", nodes: 7, refused: 150 * s, asked: 5 * s, outage: 9 * s, front: "new", peers: true, deafTo: true},
-		{name: "clocks far apart", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, skew: 0.0005},
-		{name: "clocks far apart the other way", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, skew: -0.0005},
-		{name: "cancel_s just above the lease", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, cancel: 31 * s},
-		{name: "cancel_s little above the lease", refused: 2 * s, asked: 300 * time.Millisecond, outage: 2 * s, cancel: 36 * s},
+// confirmedCases returns the cases of TestConfirmedBeforeOutage.
+func confirmedCases() []confirmedCase {
+	return []confirmedCase{
+		{name: "no other is elected", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second},
+		{name: "cancelled just before the outage", refusedFor: 2500 * time.Millisecond, cancelAfter: 2200 * time.Millisecond, outageAfter: 2500 * time.Millisecond},
+		{name: "refused until after the outage", refusedFor: 150 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second},
+		{name: "another is elected", refusedFor: 150 * second, cancelAfter: 5 * second, outageAfter: 9 * second, askedNode: "new"},
+		{name: "another is elected, a follower gets the cancellations", refusedFor: 150 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 7 * second},
+		{name: "the old leader is cut from the others", refusedFor: 150 * second, cancelAfter: 5 * second, outageAfter: 9 * second, askedNode: "new", cutFromPeers: true, workersReachOldOnly: true},
+		{name: "the old leader is cut from the others, cancelled before the next is elected", refusedFor: 150 * second, cancelAfter: 200 * time.Millisecond, outageAfter: 12 * second, cutFromPeers: true, workersReachOldOnly: true},
+		{name: "the refused leader gets the cancellations", refusedFor: 150 * second, cancelAfter: 200 * time.Millisecond, outageAfter: 1500 * time.Millisecond, askedNode: "old"},
+		{name: "the write is answered late", refusedFor: 2 * second, cancelAfter: 50 * time.Millisecond, outageAfter: 2 * second, answerDelay: 600 * time.Millisecond},
+		{name: "the write arrives twice", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, duplicateWrite: true},
+		{name: "the old leader is paused", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, pausedFor: 14 * second},
+		{name: "the old leader is paused for a lease", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, pausedFor: 30 * second},
+		{name: "the old leader restarts", refusedFor: 150 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, oldCrashes: true},
+		{name: "the outage ends just before the hold", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, outageLasts: 21 * second},
+		{name: "the outage ends just after the hold", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, outageLasts: 23 * second},
+		{name: "the outage ends when the leases do", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, outageLasts: 53 * second},
+		{name: "seven controllers", nodes: 7, refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second},
+		{name: "seven controllers, the old leader is cut from the others", nodes: 7, refusedFor: 150 * second, cancelAfter: 5 * second, outageAfter: 9 * second, askedNode: "new", cutFromPeers: true, workersReachOldOnly: true},
+		{name: "fast clock of the old leader", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, skew: 0.0005},
+		{name: "slow clock of the old leader", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, skew: -0.0005},
+		{name: "cancel_s just above the lease", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, cancelDeadline: 31 * second},
+		{name: "cancel_s a little above the lease", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, cancelDeadline: 36 * second},
 	}
 }
 
-// TestConfirmedBeforeOutage: the tasks of jobs whose cancellation was confirmed are gone
-// within cancel_s, whoever knew of it.
+// TestConfirmedBeforeOutage checks that the tasks of jobs end within cancel_s of the confirmed
+// cancellation, also if the leader that answers their workers doesn't know of it.
 func TestConfirmedBeforeOutage(t *testing.T) {
-	for _, c := range confirmedDays() {
+	for _, c := range confirmedCases() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			longest, ran, kept, killed := time.Duration(0), 0, 0, 0
 			for _, seed := range seeds(t, 3) {
-				w, n := c.play(t, 300+seed)
+				w, n := c.run(t, 300+seed)
 				for _, b := range w.Violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
@@ -220,26 +223,26 @@
 				}
 				killed += w.KilledByLease
 			}
-			t.Logf("%s of %v; %d tasks ran when they were cancelled; %d tasks killed by their lease", fmt.Sprint(longest.Round(100*time.Millisecond)), map[bool]time.Duration{true: c.cancel, false: 58 * s}[c.cancel > 0], ran, killed)
+			t.Logf("%s of %v; %d tasks ran when they were cancelled; %d tasks killed by their lease", fmt.Sprint(longest.Round(100*time.Millisecond)), map[bool]time.Duration{true: c.cancelDeadline, false: 58 * second}[c.cancelDeadline > 0], ran, killed)
 		})
 	}
 }
 
-// TestConfirmedNeedsTheHold: with no hold, or one too long by a few seconds, the same days
-// break the rule.
+// TestConfirmedNeedsTheHold checks that a case breaks the rule if the hold never ends, or ends a few
+// seconds late. The hold is how long a leader answers workers without a fresh proof that it leads.
 func TestConfirmedNeedsTheHold(t *testing.T) {
-	for _, told := range []time.Duration{time.Hour, 8 * s} {
+	for _, assumedLonger := range []time.Duration{time.Hour, 8 * second} {
 		broken := 0
 		for seed := range uint64(4) {
-			c := confirmedDays()[6] // cut from the others
-			c.told = told
-			w, _ := c.play(t, 300+seed)
+			c := confirmedCases()[6] // the old leader is cut from the others, cancelled before the next is elected
+			c.assumedLonger = assumedLonger
+			w, _ := c.run(t, 300+seed)
 			if len(w.Violations) > 0 {
 				broken++
 			}
 		}
 		if broken == 0 {
-			t.Errorf("with a hold longer by %v no rule was broken", told)
+			t.Errorf("with a hold longer by %v no rule was broken", assumedLonger)
 		}
 	}
 }
--- a/internal/sim/copies_test.go
+++ b/internal/sim/copies_test.go
@@ -11,10 +11,10 @@
 	"brooklb/internal/actor"
 )
 
-// TestCopiesOfStarts has three copies of each direct start arrive, 2 s to 4 min after it was
-// carried out, mostly after its task was done and the worker told to forget it, while the
-// task's team is at its limit or its job was cancelled, also across a change of leader. A
-// worker that had forgotten a done task started it again: `quota` and `ran_cancelled`.
+// TestCopiesOfStarts delivers three copies of each direct start, 2 s to 4 min after the original.
+// Most arrive when the task is done and the worker was told to forget it, while the task's team is
+// at its limit or its job was cancelled, also after a change of leader. A worker that had
+// forgotten a done task started it again, which broke the rules `quota` and `ran_cancelled`.
 func TestCopiesOfStarts(t *testing.T) {
 	t.Parallel()
 	atLimit, cancelled := 0, 0
@@ -23,12 +23,12 @@
 		w.checkCancelled()
 		w.submitSteadily("short", 1, 1200*time.Millisecond, 5*time.Second, 240*time.Second, func(i int) Job {
 			j := Job{Kind: "sweep", Team: "red", Tasks: 3, CPUs: 8, RunS: float64(4 + i%6)}
-			if i%16 == 0 { // some tasks are done, others wait, when it is cancelled
+			if i%16 == 0 { // when it is cancelled, some tasks are done and others wait
 				j.Tasks, j.CancelAfter = 60, 25*time.Second
 			}
 			return j
 		})
-		// Others' work comes and goes, so that machines have room when the team is at its limit.
+		// Another team's load varies, so that machines have room when the first team is at its limit.
 		w.submitSteadily("others", 2, 4*time.Second, 5*time.Second, 300*time.Second, func(i int) Job {
 			return Job{Kind: "sweep", Team: "free", Tasks: 1 + i%12, CPUs: 6, RunS: float64(5 + i%9)}
 		})
@@ -43,7 +43,7 @@
 					return
 				}
 				l := w.view()
-				for _, j := range w.doneOf(m, body) {
+				for _, j := range w.jobsOfDoneTasks(m, body) {
 					if l.use[j.team][0]+j.cpus > 160 && l.free[m][0] >= j.cpus {
 						atLimit++
 					}
@@ -63,15 +63,16 @@
 		w.Run(600 * time.Second)
 		w.checkOutcome(t, 100)
 	}
-	t.Logf("copies of starts of done tasks: %d came while their team was at its limit, %d long after a cancellation", atLimit, cancelled)
+	t.Logf("copies of starts of done tasks: %d arrived while their team was at its limit, %d long after a cancellation", atLimit, cancelled)
 	if atLimit < 30 || cancelled < 30 {
-		t.Error("the meeting did not come about")
+		t.Error("too few copies arrived in the states under test")
 	}
 }
 
-// doneOf is the jobs of the tasks that a direct command starts, are done already, and would be
-// started if the worker knew nothing of them.
-func (w *World) doneOf(m *Machine, body []byte) (out []*userJob) {
+// jobsOfDoneTasks returns the job of each task that a direct command starts although it is done.
+// A worker that had forgotten the task would start it again. The result is empty if the worker
+// rejects the command.
+func (w *World) jobsOfDoneTasks(m *Machine, body []byte) (out []*userJob) {
 	var r struct {
 		Baton, Tenure uint64
 		Orders        []order
--- a/internal/sim/door_test.go
+++ b/internal/sim/door_test.go
@@ -9,9 +9,9 @@
 	"brooklb/internal/actor"
 )
 
-// TestServiceDoor guards what is refused of a service: with a plain sentence, and
-// nothing changed.
-func TestServiceDoor(t *testing.T) {
+// TestServiceRequestsRefused checks that invalid requests on services are refused with a reason
+// and change nothing.
+func TestServiceRequestsRefused(t *testing.T) {
 	w := serviceWorld(t, Config{Seed: 95}, 4)
 	w.Submit(Job{ID: "j-5", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, RunS: 500})
 	w.Submit(Job{ID: "j-6", Kind: "standing", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 10, CPUs: 16})
@@ -73,12 +73,12 @@
 	if n := changed(); n != 0 {
 		t.Errorf("%d records were written", n)
 	}
-	// The workers' own port: found by the leader, before anything is touched.
+	// The leader refuses checks at the workers' own port before it starts or stops an instance.
 	w.mustRollout(t, Version{Service: "pub", Job: versionJob("j-9", "web:good", 4), From: "j-1", Surge: 1, Health: map[string]any{"port": 8999, "per_task": true, "path": "/"}})
 	if state, why := w.awaitRollout("pub", 1, time.Minute); state != "rolled back" || !strings.Contains(why, "port 9000 is the workers' own") {
 		t.Errorf("checks at the workers' port: %q because %q", state, why)
 	}
-	// A record that can't be read is nobody's to change, and starts nothing.
+	// No controller changes a record that it can't read, and such a record starts nothing.
 	w.State.epoch++
 	w.State.keys["b/s/broken"] = &stateKey{json.RawMessage(`{"v":9}`), w.State.epoch, 0}
 	w.State.record(stateEvent{Write: "b/s/broken", Value: json.RawMessage(`{"v":9}`), Stamp: w.State.epoch})
@@ -92,13 +92,13 @@
 	})
 	w.Run(w.now + 3*time.Second)
 	if asked == 0 || string(w.State.keys["b/s/broken"].value) != `{"v":9}` {
-		t.Error("no answer, or the record was changed")
+		t.Error("no answer, or the unreadable record was changed")
 	}
 	w.checkNoBrokenRules(t)
 }
 
-// TestAfter has the roll-out of one team's service wait for another's: it begins
-// when that one is done, and never if it went back.
+// TestAfter checks that the roll-out of one team's service waits for another's: it begins when
+// the other is done, and never begins if the other was rolled back.
 func TestAfter(t *testing.T) {
 	for _, c := range []struct{ image, state string }{{"web:good", "done"}, {"web:bad", "rolled back"}} {
 		w := serviceWorld(t, Config{Seed: 96}, 4)
--- a/internal/sim/estimates_test.go
+++ b/internal/sim/estimates_test.go
@@ -8,9 +8,9 @@
 	"brooklb/internal/settings"
 )
 
-// TestWrongEstimates plays a day whose owners think that their tasks run for
-// half as long, as long, or twice as long as they do, and holds them to their
-// deadlines: without the correction 49 of 600 jobs missed them in the first case.
+// TestWrongEstimates submits jobs whose owners estimate half, exactly or twice the real run time
+// of their tasks, and counts missed deadlines. Without the correction of estimates 49 of 600 jobs
+// missed their deadline in the first case.
 func TestWrongEstimates(t *testing.T) {
 	t.Parallel()
 	for _, wrong := range []float64{0.5, 1, 2} {
@@ -48,8 +48,8 @@
 			cost += w.Cloud.Cost
 		}
 		if late > 30 {
-			t.Errorf("estimates %v times the truth: %d late", wrong, late)
+			t.Errorf("estimates %v times the real run time: %d late", wrong, late)
 		}
-		t.Logf("estimates %v times the truth: %d late, %.0f machine seconds", wrong, late, cost)
+		t.Logf("estimates %v times the real run time: %d late, %.0f machine seconds", wrong, late, cost)
 	}
 }
--- a/internal/sim/forward_test.go
+++ b/internal/sim/forward_test.go
@@ -11,20 +11,21 @@
 	"brooklb/internal/settings"
 )
 
-// fewSockets makes controllers spread the workers' reports in worlds as small as these.
+// fewSockets is so low a limit that controllers spread the workers' reports even in a small
+// simulation.
 const fewSockets = 4
 
-// passing counts what controllers pass on for the leader.
-type passing struct{ reports, orders int }
+// forwardedCounts counts the batches that controllers forward to and for the leader.
+type forwardedCounts struct{ reports, orders int }
 
-// spreadWorld is a world in which all controllers take reports; each third has seven of
-// them.
-func spreadWorld(seed uint64) (*World, *passing) {
+// spreadWorld returns a simulation in which all controllers take reports. Every third seed has
+// seven controllers.
+func spreadWorld(seed uint64) (*World, *forwardedCounts) {
 	cfg := Config{Seed: seed, Nodes: 3, Sockets: fewSockets}
 	if seed%3 == 0 {
 		cfg.Nodes, cfg.NodeZones, cfg.RPS, cfg.WriteRPS = 7, []string{"a", "b"}, 120, 25
 	}
-	w, p := worldOf(cfg), &passing{}
+	w, p := worldOf(cfg), &forwardedCounts{}
 	w.OnSend = func(_ string, c actor.Call) {
 		switch c.Path {
 		case forward.ReportsPath:
@@ -36,38 +37,39 @@
 	return w, p
 }
 
-func (p *passing) check(t *testing.T) {
+// check fails the test if controllers forwarded too few reports.
+func (p *forwardedCounts) check(t *testing.T) {
 	t.Helper()
 	if p.reports < 50 {
-		t.Errorf("%d batches of reports and %d of orders were passed on", p.reports, p.orders)
+		t.Errorf("%d batches of reports and %d of orders were forwarded", p.reports, p.orders)
 	}
 	t.Logf("%d batches of reports, %d of orders", p.reports, p.orders)
 }
 
-// TestSpreadMeetings plays the drawn days of TestMeetings and TestFurtherMeetings with
-// reports taken by all controllers.
-func TestSpreadMeetings(t *testing.T) {
+// TestSpreadCombinedFaults injects the random faults of TestCombinedFaults and
+// TestAdditionalCombinedFaults while all controllers take reports.
+func TestSpreadCombinedFaults(t *testing.T) {
 	for _, s := range seeds(t, 32) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
 			w, p := spreadWorld(70000 + s)
-			withMeetings(w)
+			withLoadAndMessageFaults(w)
 			if s%2 == 0 {
-				w.drawMeetings()
+				w.scheduleCombinedFaults()
 				w.Run(1500 * time.Second)
 				w.checkOutcome(t, 25)
 			} else {
-				w.drawFurther()
+				w.scheduleAdditionalFaults()
 				w.Run(1500 * time.Second)
-				w.furtherVerdict(t)
+				w.verdictWithFinalAnswers(t)
 			}
 			p.check(t)
 		})
 	}
 }
 
-// TestSpreadTroubles plays the troubled days with reports taken by all controllers.
-func TestSpreadTroubles(t *testing.T) {
+// TestSpreadRandomFaults injects random single faults while all controllers take reports.
+func TestSpreadRandomFaults(t *testing.T) {
 	for _, s := range seeds(t, 16) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
@@ -76,7 +78,7 @@
 			for range 8 {
 				w.At(w.randomSecs(5, 300), w.injectFault)
 			}
-			w.calmAfter(400 * time.Second)
+			w.endFaultsAfter(400 * time.Second)
 			w.Run(1500 * time.Second)
 			w.checkOutcome(t, 25)
 			p.check(t)
@@ -84,8 +86,8 @@
 	}
 }
 
-// notLeading is a controller that doesn't lead.
-func (w *World) notLeading() int {
+// randomFollower returns a random controller that doesn't lead.
+func (w *World) randomFollower() int {
 	i := w.rng.IntN(len(w.nodes))
 	if i == w.Leader() {
 		i = (i + 1) % len(w.nodes)
@@ -93,17 +95,17 @@
 	return i
 }
 
-// reporterTroubles are what can happen to a controller that passes reports and orders on.
-var reporterTroubles = []struct {
-	name string
-	make func(w *World)
-	// calm: no task may lose its lease.
-	calm bool
+// forwarderFaults are faults of controllers that forward reports and orders, and of the leader.
+var forwarderFaults = []struct {
+	name   string
+	inject func(w *World)
+	// keepsLeases says that the fault may cost no worker its lease.
+	keepsLeases bool
 }{
-	{"ends with orders in hand", func(w *World) { w.Crash(w.notLeading(), w.randomSecs(0.05, 10)) }, true},
-	{"is paused", func(w *World) { w.Freeze(w.notLeading(), w.randomSecs(1, 25)) }, false},
-	{"cut from the others, packets held", func(w *World) { w.CutPeers(w.notLeading(), w.randomSecs(2, 40), true) }, false},
-	{"cut from the others, connections reset", func(w *World) { w.CutPeers(w.notLeading(), w.randomSecs(2, 40), false) }, false},
+	{"ends with undelivered orders", func(w *World) { w.Crash(w.randomFollower(), w.randomSecs(0.05, 10)) }, true},
+	{"is paused", func(w *World) { w.Freeze(w.randomFollower(), w.randomSecs(1, 25)) }, false},
+	{"cut from the others, packets held", func(w *World) { w.CutPeers(w.randomFollower(), w.randomSecs(2, 40), true) }, false},
+	{"cut from the others, connections reset", func(w *World) { w.CutPeers(w.randomFollower(), w.randomSecs(2, 40), false) }, false},
 	{"the leader is cut from the others and another leads", func(w *World) {
 		l := max(0, w.Leader())
 		w.CutPeers(l, 30*time.Second, w.rng.IntN(2) == 0)
@@ -111,34 +113,34 @@
 	}, false},
 	{"the leader ends", func(w *World) { w.Crash(max(0, w.Leader()), w.randomSecs(0.05, 5)) }, true},
 	{"the leader is paused", func(w *World) { w.Freeze(max(0, w.Leader()), w.randomSecs(1, 12)) }, false},
-	{"a lease and more without leaders", func(w *World) {
+	{"all are down for longer than a lease", func(w *World) {
 		for i := range w.nodes {
 			w.Crash(i, w.lease()+w.randomSecs(1, 10))
 		}
 	}, false},
 }
 
-// TestReporters: a trouble of the controllers that pass on comes every half minute, with
-// copies of messages and messages that are held up alone; no rule is broken, all is done,
-// and a controller that ends costs no worker its lease.
-func TestReporters(t *testing.T) {
-	for i, trouble := range reporterTroubles {
+// TestForwarderFaults injects a fault of the forwarding controllers or the leader every half
+// minute, with duplicated and delayed messages where the fault may cost leases. No rule may be
+// broken, all jobs must be done, and a controller that ends must cost no worker its lease.
+func TestForwarderFaults(t *testing.T) {
+	for i, fault := range forwarderFaults {
 		for _, s := range seeds(t, 3) {
-			t.Run(trouble.name+"/"+strconv.FormatUint(s, 10), func(t *testing.T) {
+			t.Run(fault.name+"/"+strconv.FormatUint(s, 10), func(t *testing.T) {
 				t.Parallel()
 				w, p := spreadWorld(90000 + 100*uint64(i) + s)
-				if !trouble.calm {
+				if !fault.keepsLeases {
 					w.StallOneIn, w.DuplicateOneIn = 400, 100
 				}
 				w.Workload(50, 200*time.Second)
 				for k := range 8 {
-					w.At(time.Duration(20+30*k)*time.Second+w.randomSecs(0, 10), func() { trouble.make(w) })
+					w.At(time.Duration(20+30*k)*time.Second+w.randomSecs(0, 10), func() { fault.inject(w) })
 				}
-				w.calmAfter(330 * time.Second)
+				w.endFaultsAfter(330 * time.Second)
 				w.Run(1200 * time.Second)
 				w.checkOutcome(t, 20)
 				p.check(t)
-				if trouble.calm && w.KilledByLease > 0 {
+				if fault.keepsLeases && w.KilledByLease > 0 {
 					t.Errorf("%d tasks were killed by their worker's lease", w.KilledByLease)
 				}
 			})
@@ -146,8 +148,8 @@
 	}
 }
 
-// TestSpreadUpgrade has controllers of an older program, which know nothing of passing on,
-// beside newer ones, and a crash of all in the midst.
+// TestSpreadUpgrade mixes controllers of an older version, which can't forward reports, with
+// newer ones, and crashes all of them in the middle.
 func TestSpreadUpgrade(t *testing.T) {
 	for _, s := range seeds(t, 6) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
@@ -172,52 +174,52 @@
 					w.Crash(i, w.randomSecs(0.1, 6))
 				}
 			})
-			w.calmAfter(260 * time.Second)
+			w.endFaultsAfter(260 * time.Second)
 			w.Run(1200 * time.Second)
 			w.checkOutcome(t, 20)
 		})
 	}
 }
 
-// TestSpreadEvenly: reports come to all controllers alike, within seconds of need, and
-// the workers of one that ends are taken by the others.
+// TestSpreadEvenly checks that the workers' reports spread evenly over all controllers, and that
+// the other controllers take over the workers of one that ends.
 func TestSpreadEvenly(t *testing.T) {
 	w := New(Config{Seed: 5, Nodes: 5, Zones: []string{"a", "b", "c"}, Capacity: 300, Initial: 300, CPUs: 16, GPUs: 4, BootS: 15, Sockets: 400,
 		RPS: 250, WriteRPS: 60, CloudRPS: 6, Teams: []settings.Team{{Name: "free"}}})
 	w.submitSteadily("work", 3, 2*time.Second, 2*time.Second, 100*time.Second, func(int) Job {
 		return Job{Kind: "sweep", Team: "free", Tasks: 30, CPUs: 8, RunS: 60}
 	})
-	at := make([]int, len(w.nodes))
+	reportsAt := make([]int, len(w.nodes))
 	w.OnSend = func(from string, c actor.Call) {
 		for i, s := range w.nodes {
 			if c.Path == "/hello" && c.Addr == s.addr {
-				at[i]++
+				reportsAt[i]++
 			}
 		}
 	}
-	// count is the least and the most that came to a controller, as parts of the mean.
+	// count returns the fewest and the most reports at a controller, relative to the mean.
 	count := func(from, to time.Duration, nodes int) (least, most float64) {
 		w.Run(from)
-		clear(at)
+		clear(reportsAt)
 		w.Run(to)
-		at[w.Leader()] *= 2 // it has other work, and takes half as many
+		reportsAt[w.Leader()] *= 2 // the leader has other work and takes half as many reports
 		sum := 0
-		for _, n := range at {
+		for _, n := range reportsAt {
 			sum += n
 		}
 		if sum < 500 {
-			t.Fatalf("only %d reports", sum)
+			t.Fatalf("only %d reports arrived", sum)
 		}
 		mean := float64(sum) / float64(nodes)
-		return float64(slices.Min(at)) / mean, float64(slices.Max(at)) / mean
+		return float64(slices.Min(reportsAt)) / mean, float64(slices.Max(reportsAt)) / mean
 	}
 	if least, most := count(30*time.Second, 50*time.Second, 5); least < 0.5 || most > 1.5 {
-		t.Errorf("from %.2f to %.2f of the mean came to a controller: %v", least, most, at)
+		t.Errorf("a controller got from %.2f to %.2f of the mean number of reports: %v", least, most, reportsAt)
 	}
 	killed := w.KilledByLease
-	w.Crash(w.notLeading(), time.Hour)
+	w.Crash(w.randomFollower(), time.Hour)
 	if _, most := count(60*time.Second, 80*time.Second, 4); most > 1.5 {
-		t.Errorf("after a controller had ended %.2f of the mean came to another: %v", most, at)
+		t.Errorf("after a controller had ended another got %.2f of the mean number of reports: %v", most, reportsAt)
 	}
 	if w.KilledByLease > killed {
 		t.Errorf("%d tasks were killed by their lease", w.KilledByLease-killed)
--- a/internal/sim/further_test.go
+++ b/internal/sim/further_test.go
@@ -9,15 +9,15 @@
 	"brooklb/internal/actor"
 )
 
-// furtherMeetings are those that the users named later; see further.
-const furtherMeetings = 12
+// additionalFaultKinds is the number of kinds of injectAdditionalFault.
+const additionalFaultKinds = 12
 
-// further makes one of the further meetings' troubles begin, for about d.
-func (w *World) further(kind int, d time.Duration) {
+// injectAdditionalFault starts a fault of the given kind that lasts for about d.
+func (w *World) injectAdditionalFault(kind int, d time.Duration) {
 	r, n := w.rng, len(w.nodes)
 	l := max(0, w.Leader())
 	switch kind {
-	case 0: // some machines, a zone or all reach no controller
+	case 0: // some machines, a zone's or all, can open no connection to a controller
 		share, zone := r.Float64(), ""
 		if r.IntN(3) == 0 {
 			share, zone = 1, w.cfg.Zones[r.IntN(len(w.cfg.Zones))]
@@ -27,7 +27,7 @@
 				m.BlockOutbound(d)
 			}
 		}
-	case 1: // many cancel at once, machines hang for up to just above a lease
+	case 1: // many jobs are cancelled within a moment, machines hang for up to just above a lease
 		hang := []time.Duration{0, w.randomSecs(1, 20), w.randomSecs(20, 1.05*w.lease().Seconds())}[r.IntN(3)]
 		w.CancelRunning(1+r.IntN(12), hang)
 	case 2:
@@ -44,21 +44,21 @@
 			id := fmt.Sprintf("j-%09d", w.rng.IntN(1e9))
 			w.after(time.Duration(i)*time.Second, func() { w.Submit(w.randomJob(id)) })
 		}
-	case 6: // leaders change ten times, perhaps inside an outage
+	case 6: // ten leaders crash, sometimes during an outage of the state service
 		if r.IntN(3) == 0 {
 			w.State.Outage(min(d, 70*time.Second))
 		}
 		for k := range 10 {
 			w.after(time.Duration(k)*12*time.Second, func() { w.Crash(max(0, w.Leader()), w.shortPause()) })
 		}
-	case 7: // all away for longer than a lease; back at once, one by one, one alone for a minute
-		away, how := w.lease()+w.randomSecs(1, 20), r.IntN(3)
+	case 7: // all controllers are down for longer than a lease; they return together, one by one, or one a minute before the others
+		downFor, returnOrder := w.lease()+w.randomSecs(1, 20), r.IntN(3)
 		for i := range n {
-			w.Crash(i, away+[]time.Duration{0, time.Duration(i) * w.randomSecs(1, 8), time.Duration(min(i, 1)) * time.Minute}[how])
+			w.Crash(i, downFor+[]time.Duration{0, time.Duration(i) * w.randomSecs(1, 8), time.Duration(min(i, 1)) * time.Minute}[returnOrder])
 		}
 	case 8: // a zone with workers and perhaps a controller is cut off for longer than a lease
 		w.CutZone(w.cfg.Zones[r.IntN(len(w.cfg.Zones))], w.lease()+w.randomSecs(1, 40), r.IntN(3) > 0)
-	case 9: // cancelled as the leader is refused, out for all a second later
+	case 9: // jobs are cancelled as the state service refuses the leader; a second later it is down for all
 		w.State.RefuseNode(w.NodeName(l), w.randomSecs(1, 100))
 		hang := []time.Duration{0, w.randomSecs(0.9, 1.03) * time.Duration(w.lease().Seconds())}[r.IntN(2)]
 		w.after(w.randomSecs(0, 0.2), func() { w.CancelRunning(8, hang) })
@@ -69,7 +69,7 @@
 		if r.IntN(3) == 0 {
 			w.CutPeers(l, d, r.IntN(2) == 0)
 		}
-	case 10: // single reports are held up until a new leader has acted
+	case 10: // single reports are delayed until a new leader has acted
 		late := map[string]time.Duration{}
 		until := w.now + 20*time.Second
 		w.RequestDelay = func(from string, c actor.Call) time.Duration {
@@ -90,54 +90,56 @@
 	}
 }
 
-// failedFurther are seeds of TestFurtherMeetings that failed a check once.
-var failedFurther = []uint64{1227, 1507}
+// additionalFaultSeeds are seeds of TestAdditionalCombinedFaults that once broke a rule.
+var additionalFaultSeeds = []uint64{1227, 1507}
 
-// TestFurtherMeetings draws days on which the further meetings come together with each other
-// and with those of TestMeetings, at each node count, with jobs cancelled before and after.
-func TestFurtherMeetings(t *testing.T) {
-	for _, s := range append(failedFurther, seeds(t, 32)...) {
+// TestAdditionalCombinedFaults combines the additional faults at random with each other and with
+// those of TestCombinedFaults, with three and with seven controllers, while jobs are cancelled.
+func TestAdditionalCombinedFaults(t *testing.T) {
+	for _, s := range append(additionalFaultSeeds, seeds(t, 32)...) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
-			w := meetingsWorld(50000, s)
-			w.drawFurther()
+			w := combinedFaultsWorld(50000, s)
+			w.scheduleAdditionalFaults()
 			w.Run(1500 * time.Second)
-			w.furtherVerdict(t)
+			w.verdictWithFinalAnswers(t)
 		})
 	}
 }
 
-// drawFurther plans a day on which the further meetings come together with each other and
-// with the first.
-func (w *World) drawFurther() {
+// scheduleAdditionalFaults schedules random groups of faults that overlap in time. Each group begins
+// with an additional fault; the others may be faults of injectCombinedFault.
+func (w *World) scheduleAdditionalFaults() {
 	end := 100 * time.Second
 	for range 5 {
 		at := w.randomSecs(10, 220)
 		for k := range 2 + w.rng.IntN(2) {
-			kind, from, d := w.rng.IntN(furtherMeetings), at+w.randomSecs(0, 15), w.randomSecs(3, 100)
+			kind, from, d := w.rng.IntN(additionalFaultKinds), at+w.randomSecs(0, 15), w.randomSecs(3, 100)
 			if k > 0 && w.rng.IntN(3) == 0 {
-				kind = w.rng.IntN(meetings)
-				w.At(from, func() { w.meet(kind, d) })
+				kind = w.rng.IntN(combinedFaultKinds)
+				w.At(from, func() { w.injectCombinedFault(kind, d) })
 			} else {
-				w.At(from, func() { w.further(kind, d) })
+				w.At(from, func() { w.injectAdditionalFault(kind, d) })
 			}
 			end = max(end, from+max(3*d, 130*time.Second))
 		}
 	}
-	w.calmAfter(end)
+	w.endFaultsAfter(end)
 }
 
-func (w *World) furtherVerdict(t *testing.T) {
+// verdictWithFinalAnswers checks the verdict and that most jobs reached a state that users were told
+// as final. Many jobs are cancelled in these tests, so only few must be done.
+func (w *World) verdictWithFinalAnswers(t *testing.T) {
 	t.Helper()
 	w.checkOutcome(t, 10)
-	final := 0 // many are cancelled on such days, but each has its final word
+	final := 0 // jobs that were reported done or whose cancellation was confirmed
 	for _, j := range w.jobs {
 		if j.reportedDone || j.cancelledAt > 0 {
 			final++
 		}
 	}
 	if final < 60 {
-		t.Errorf("%d of %d jobs have a final word", final, len(w.jobs))
+		t.Errorf("%d of %d jobs have a final state", final, len(w.jobs))
 	}
-	t.Logf("%d starts after a confirmed cancellation, %d odd jobs refused", w.StartsAfterCancel, w.InvalidRefused)
+	t.Logf("%d starts after a confirmed cancellation, %d invalid jobs refused", w.StartsAfterCancel, w.InvalidRefused)
 }
--- a/internal/sim/fuzz_test.go
+++ b/internal/sim/fuzz_test.go
@@ -9,7 +9,7 @@
 	"brooklb/internal/units"
 )
 
-// FuzzRecords feeds every decoder of what lies in the state service, and of settings.
+// FuzzRecords fuzzes the decoders of records in the state service and of settings.
 func FuzzRecords(f *testing.F) {
 	for _, s := range []string{`{"v":2,"at":1,"k":4,"c":10,"s":{"t":"red","k":1,"cp":4,"any":true}}`, `{"v":4,"at":1,"k":1,"s":{"u":[{"n":"seat","k":1}]}}`, `{"v":2,"t":"1@vm-1 d 3"}`,
 		`{"v":1,"n":1,"cur":{"j":"j-1","k":4,"on":"AQAAAAAAAAA"}}`, `{"v":1,"n":5,"t":{"red":{"most":1}},"r":[0,0,1,0]}`, "label = \"n0\"\n", "units.seat.count=5\n"} {
--- a/internal/sim/guards_test.go
+++ b/internal/sim/guards_test.go
@@ -10,10 +10,10 @@
 	"brooklb/internal/actor"
 )
 
-// TestLateTransaction is the day that shows what the condition on a chunk's
-// version is for: a placement's transaction is held up, its machine is about to
-// be taken, the task goes elsewhere, and then the first one is applied. Without
-// the condition the next leader starts the task where that one says, too.
+// TestLateTransaction guards the condition on a chunk's version: a placement's transaction is
+// delayed, the cloud announces that it takes its machine, the task is placed elsewhere, and then
+// the delayed transaction arrives. Without the condition it would be applied, and the next leader
+// would start the task on the first machine, too.
 func TestLateTransaction(t *testing.T) {
 	w := world(41)
 	at := regexp.MustCompile(`1@(vm-[0-9]+)`)
@@ -39,7 +39,7 @@
 	})
 	w.At(15*time.Second, func() {
 		w.Crash(w.Leader(), 2*time.Second)
-		for _, m := range w.Machines() { // the machine that has it is heard late
+		for _, m := range w.Machines() { // the reports of the machine with the task arrive late
 			for i := range w.nodes {
 				if len(m.tasks) > 0 {
 					w.Cut(w.NodeName(i), m.Name, 15*time.Second, false)
@@ -48,24 +48,24 @@
 		}
 	})
 	w.Run(60 * time.Second)
-	on := ""
+	placedOn := ""
 	for _, m := range w.Machines() {
 		for _, r := range m.sortedTasks() {
 			if r.job.id == "j-1" && r.onMachine() {
-				on += m.Name
+				placedOn += m.Name
 			}
 		}
 	}
-	if held == "" || on == "" || strings.Contains(on, held) {
-		t.Errorf("held %q, on %q: the day didn't come to what it should show", held, on)
+	if held == "" || placedOn == "" || strings.Contains(placedOn, held) {
+		t.Errorf("placement on %q was delayed, task is on %q: the simulation did not reach the state under test", held, placedOn)
 	}
 	w.Run(300 * time.Second)
 	w.checkOutcome(t, 1)
 }
 
-// TestCancelBeforeStart is the day that shows what the condition on a job's
-// record is for: the leader doesn't hear of a cancellation, and room for the job
-// falls free. From the moment the user is told, nothing of it may be started.
+// TestCancelBeforeStart guards the condition on a job's record: the leader learns late of a
+// cancellation, while room for the job becomes free. Once the user has the confirmation, no task
+// of the job may be started.
 func TestCancelBeforeStart(t *testing.T) {
 	started := 0
 	for seed := uint64(1); seed <= 8; seed++ {
@@ -77,31 +77,31 @@
 			}
 			return 0
 		}
-		w.At(5*time.Second, func() { // all six machines, tasks that end one after the other
+		w.At(5*time.Second, func() { // tasks that fill all six machines and end one after the other
 			for i, s := range []float64{22, 24.3, 24.9, 25.3, 25.7, 26} {
 				w.Submit(Job{ID: "j-1" + string(rune('0'+i)), Kind: "sweep", Team: "free", Urgency: "high", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 14, RunS: s})
 			}
 		})
 		w.At(28*time.Second, func() {
 			lead = w.NodeName(w.Leader())
-			w.Cloud.Outage(30 * time.Second) // nothing is rented
+			w.Cloud.Outage(30 * time.Second) // no machine can be rented
 			w.Submit(Job{ID: "j-2", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 9, CPUs: 14, RunS: 30, CancelAfter: 2300 * time.Millisecond})
 		})
 		before := -1
-		var look func()
-		look = func() {
+		var watchConfirmation func()
+		watchConfirmation = func() {
 			if j := w.jobs["j-2"]; j != nil && j.cancelledAt > 0 && before < 0 {
 				before = j.starts
 				started += before
 				return
 			}
-			w.after(time.Millisecond, look)
+			w.after(time.Millisecond, watchConfirmation)
 		}
-		w.At(28*time.Second, look)
+		w.At(28*time.Second, watchConfirmation)
 		w.Run(60 * time.Second)
-		// A start that was under way when the user was told may arrive.
+		// A start that was in flight when the user got the confirmation may still arrive.
 		if n := w.Starts("j-2"); before < 0 || n > before+1 {
-			t.Errorf("seed %d: %d starts before the user was told of the cancellation, %d in all", seed, before, n)
+			t.Errorf("seed %d: %d starts before the cancellation was confirmed, %d in total", seed, before, n)
 		}
 		w.Run(200 * time.Second)
 		for _, b := range w.Violations {
@@ -111,9 +111,9 @@
 	t.Logf("%d starts before the cancellations", started)
 }
 
-// TestLateStart is the day that shows why a worker isn't told to forget an
-// attempt while a copy of its start may be under way: the copy comes minutes
-// later, when the job has long been cancelled, and would be executed.
+// TestLateStart guards the rule that a worker keeps an attempt while a copy of its start may be
+// in flight: the copy arrives minutes later, long after the job was cancelled, and a worker that
+// no longer knew the attempt would execute it.
 func TestLateStart(t *testing.T) {
 	w := world(42)
 	held := 0
@@ -126,11 +126,11 @@
 	}
 	w.At(5*time.Second, func() {
 		w.Submit(Job{ID: "j-1", Kind: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 4, CancelAfter: 15 * time.Second})
-		w.Submit(Job{ID: "j-2", Kind: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 9}) // keeps the machines
+		w.Submit(Job{ID: "j-2", Kind: "standing", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 5, CPUs: 9}) // keeps the machines from being returned
 	})
 	w.Run(200 * time.Second)
 	if held == 0 || w.Starts("j-1") == 0 {
-		t.Errorf("%d starts held, %d executed: the day didn't come to what it should show", held, w.Starts("j-1"))
+		t.Errorf("%d starts delayed, %d executed: the simulation did not reach the state under test", held, w.Starts("j-1"))
 	}
 	for _, b := range w.Violations {
 		t.Error(b)
--- a/internal/sim/late_test.go
+++ b/internal/sim/late_test.go
@@ -10,10 +10,10 @@
 	"brooklb/internal/actor"
 )
 
-// writeKinds tells transactions of controllers apart, by what they write.
+// writeKinds classifies the controllers' transactions by what they write.
 var writeKinds = []struct {
-	name string
-	is   func(body string) bool
+	name    string
+	matches func(body string) bool
 }{
 	{"acceptance", func(b string) bool { return strings.Contains(b, `"write":"b/j/`) && strings.Contains(b, `"stamp":0`) }},
 	{"cancellation", func(b string) bool { return strings.Contains(b, `"f":"cancelled"`) }},
@@ -28,10 +28,10 @@
 	{"types", func(b string) bool { return strings.Contains(b, `"write":"b/types"`) }},
 }
 
-// TestLateWritesByKind has, kind by kind, most transactions get no answer and be carried out 2
-// to 12 s later, after newer ones of the same controller, and has those that were answered come
-// a second time, while the leader changes and users cancel. No rule breaks, and nothing that was
-// carried out is carried out again, but what asks only.
+// TestLateWritesByKind delays, loses the answers of, or duplicates most transactions of one kind
+// while the leader changes and users cancel. Delayed and duplicated ones arrive 2 to 12 s later,
+// after newer ones of the same controller. No rule may be broken, and a duplicate of a transaction
+// that was carried out must change nothing.
 func TestLateWritesByKind(t *testing.T) {
 	for _, kind := range writeKinds {
 		t.Run(kind.name, func(t *testing.T) {
@@ -40,13 +40,13 @@
 			for _, seed := range seeds(t, 3) {
 				w := world(47000 + seed)
 				w.checkCancelled()
-				for i, m := range w.Machines() { // tasks of a job end far apart, so that there are marks
+				for i, m := range w.Machines() { // tasks of a job end at very different times, so that marks of done tasks are written
 					if i%2 == 0 {
 						m.SlowFactor = 12
 					}
 				}
 				from := 15 * time.Second
-				if kind.name == "types" { // they are written once
+				if kind.name == "types" { // the types are written once, at the start
 					from = 0
 				}
 				for i := range 50 {
@@ -56,12 +56,12 @@
 					})
 				}
 				w.AnswerDelay = func(sender string, a actor.Call) time.Duration {
-					if a.Path != "/commit" || w.now < from || w.now > 160*time.Second || !kind.is(string(a.Body)) {
+					if a.Path != "/commit" || w.now < from || w.now > 160*time.Second || !kind.matches(string(a.Body)) {
 						return 0
 					}
 					if w.rng.IntN(3) == 0 {
 						late++
-						return 20 * time.Second // it was carried out, nobody hears of it
+						return 20 * time.Second // the transaction is carried out, its answer is lost
 					}
 					body := bytes.Clone(a.Body)
 					w.after(w.randomSecs(2, 12), func() {
@@ -69,14 +69,14 @@
 						w.State.serve(sender, "POST", "/commit", body, func(status int, _ []byte) {
 							twice++
 							if status == 200 && w.State.Changes > changed {
-								t.Errorf("%v: carried out again: %.300s", w.now, body)
+								t.Errorf("%v: a duplicate was carried out: %.300s", w.now, body)
 							}
 						})
 					})
 					return 0
 				}
 				w.RequestDelay = func(_ string, a actor.Call) time.Duration {
-					if a.Path == "/commit" && w.now >= from && w.now < 160*time.Second && kind.is(string(a.Body)) && w.rng.IntN(3) == 0 {
+					if a.Path == "/commit" && w.now >= from && w.now < 160*time.Second && kind.matches(string(a.Body)) && w.rng.IntN(3) == 0 {
 						late++
 						return w.randomSecs(2, 12)
 					}
@@ -89,9 +89,9 @@
 				w.Run(700 * time.Second)
 				w.checkOutcome(t, 10)
 			}
-			t.Logf("%d were late or unanswered, %d came a second time", late, twice)
+			t.Logf("%d writes were late or unanswered, %d arrived a second time", late, twice)
 			if late+twice < 3 {
-				t.Error("the meeting did not come about")
+				t.Error("too few writes were late or duplicated")
 			}
 		})
 	}
--- a/internal/sim/list_test.go
+++ b/internal/sim/list_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// TestListLags guards against machines that are returned because a list that
-// lags by more than the settings say doesn't show them yet: all 21 of this day
-// were.
+// TestListLags guards against returning new machines because the cloud's list, which lags by more
+// than the settings say, doesn't show them yet: all 21 machines rented in this test were returned.
 func TestListLags(t *testing.T) {
 	w := worldOf(Config{Seed: 71, Nodes: 3})
 	w.Cloud.ListLag = 60 * time.Second
@@ -27,15 +26,15 @@
 		}
 	}
 	if rented < 5 {
-		t.Errorf("%d machines rented: the day didn't come to what it should show", rented)
+		t.Errorf("%d machines rented: the simulation did not reach the state under test", rented)
 	}
 	w.Run(600 * time.Second)
 	w.checkOutcome(t, 1)
 }
 
-// TestListOutOfOrder guards against a list whose pages have the machines in no
-// order, and against one that never ends: it was asked for page after page, as
-// fast as the cloud's rate allows, and nothing was concluded from it any more.
+// TestListOutOfOrder guards against a list whose pages show the machines in random order, and
+// against a list that never ends: the leader requested page after page at the cloud's full rate
+// and no longer noticed machines that were gone.
 func TestListOutOfOrder(t *testing.T) {
 	w := worldOf(Config{Seed: 73, Nodes: 3})
 	w.Cloud.PageSize, w.Cloud.Shuffle = 5, true
@@ -58,7 +57,7 @@
 			t.Errorf("at %v: %d pages of an endless list were asked for in 20 s", w.now, n)
 		}
 	}
-	w.Cloud.machines["vm-000012"].Fail() // seen by the list alone, once it ends again
+	w.Cloud.machines["vm-000012"].Fail() // only the list shows this, once it ends again
 	w.Run(600 * time.Second)
 	w.checkOutcome(t, 40)
 }
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -10,14 +10,14 @@
 	"brooklb/internal/actor"
 )
 
-// meet makes one of the meetings' troubles begin, for about d.
-func (w *World) meet(kind int, d time.Duration) {
+// injectCombinedFault starts a fault of the given kind that lasts for about d.
+func (w *World) injectCombinedFault(kind int, d time.Duration) {
 	r, n := w.rng, len(w.nodes)
 	l := max(0, w.Leader())
 	switch kind {
 	case 0: // the state service refuses the leader alone
 		w.State.RefuseNode(w.NodeName(l), d)
-	case 1: // and everybody, perhaps for longer than a cancellation has
+	case 1: // the state service refuses all, perhaps for longer than cancel_s
 		w.State.Outage(min(d, 75*time.Second))
 	case 2:
 		w.Isolate(l, d, r.IntN(2) == 0)
@@ -25,14 +25,14 @@
 		w.DelayWrites(0.05+0.4*r.Float64(), d)
 	case 4:
 		w.RepeatReports(0.05+0.4*r.Float64(), d)
-	case 5: // some machines hear nothing, perhaps for longer than a lease
+	case 5: // some machines receive nothing, perhaps for longer than a lease
 		share := 0.1 + 0.6*r.Float64()
 		for _, m := range w.Machines() {
 			if r.Float64() < share {
 				m.LoseInbound(d)
 			}
 		}
-	case 6: // the leader ends while machines can't be reached
+	case 6: // the leader crashes while machines can't be reached
 		for _, m := range w.Machines() {
 			if r.IntN(2) == 0 {
 				for i := range w.nodes {
@@ -41,7 +41,7 @@
 			}
 		}
 		w.after(w.randomSecs(0, 4), func() { w.Crash(max(0, w.Leader()), w.randomSecs(0.1, 8)) })
-	case 7: // handed over and back, all end, one returns
+	case 7: // leaders crash in turn, then all controllers crash and one returns first
 		for k := range 1 + r.IntN(3) {
 			w.after(time.Duration(k)*w.randomSecs(0.1, 2), func() { w.Crash(max(0, w.Leader()), w.shortPause()) })
 		}
@@ -57,13 +57,13 @@
 		})
 	case 8:
 		w.State.SlowDown(d)
-	case 9: // a machine or a controller is held up, and goes on
+	case 9: // machines hang and the leader is paused; then they resume
 		ms := w.Machines()
 		for range 1 + r.IntN(3) {
 			ms[r.IntN(len(ms))].Hang(w.randomSecs(1, 29))
 		}
 		w.Freeze(l, w.randomSecs(1, 25))
-	case 10: // single commands, reports and answers are held up
+	case 10: // single commands, reports and answers are delayed
 		old := w.StallOneIn
 		w.StallOneIn = 60
 		w.after(d, func() { w.StallOneIn = old })
@@ -72,69 +72,74 @@
 	}
 }
 
-const meetings = 12
+// combinedFaultKinds is the number of kinds of injectCombinedFault.
+const combinedFaultKinds = 12
 
-// failedMeetings are seeds of days that broke a rule once; they are played first.
-var failedMeetings = []uint64{120, 1054, 1645}
+// combinedFaultSeeds are seeds that once broke a rule. They run first.
+var combinedFaultSeeds = []uint64{120, 1054, 1645}
 
-// meetingsWorld is a world with a workload, users behind a load balancer, and late, held and
-// copied messages; each third has seven controllers.
-func meetingsWorld(base, seed uint64) *World {
+// combinedFaultsWorld returns a simulation with load and message faults. Every third seed has seven
+// controllers.
+func combinedFaultsWorld(base, seed uint64) *World {
 	if seed%3 == 0 {
-		return withMeetings(sevenNodeWorld(base + seed))
+		return withLoadAndMessageFaults(sevenNodeWorld(base + seed))
 	}
-	return withMeetings(world(base + seed))
+	return withLoadAndMessageFaults(world(base + seed))
 }
 
-func withMeetings(w *World) *World {
+// withLoadAndMessageFaults adds a workload, users behind a load balancer, and slow, delayed and
+// duplicated messages.
+func withLoadAndMessageFaults(w *World) *World {
 	w.StartLoadBalancer()
 	w.State.SlowOneIn, w.StallOneIn, w.DuplicateOneIn = 50, 700, 150
 	w.Workload(60, 200*time.Second)
 	return w
 }
 
-// calmAfter ends all troubles soon after the given time.
-func (w *World) calmAfter(end time.Duration) {
+// endFaultsAfter ends all message faults soon after the given time and tells the checks that no
+// fault is active from then on.
+func (w *World) endFaultsAfter(end time.Duration) {
 	w.FaultsEndAt = end + 15*time.Second
 	w.At(w.FaultsEndAt, func() { w.State.SlowOneIn, w.StallOneIn, w.DuplicateOneIn = 0, 0, 0 })
 }
 
-// TestMeetings draws days on which the troubles that the users have met come together in
-// twos and threes, while users cancel and ask.
-func TestMeetings(t *testing.T) {
-	for _, s := range append(failedMeetings, seeds(t, 32)...) {
+// TestCombinedFaults injects random groups of two or three overlapping faults while users cancel
+// and poll.
+func TestCombinedFaults(t *testing.T) {
+	for _, s := range append(combinedFaultSeeds, seeds(t, 32)...) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
-			w := meetingsWorld(20000, s)
-			w.drawMeetings()
+			w := combinedFaultsWorld(20000, s)
+			w.scheduleCombinedFaults()
 			w.Run(1500 * time.Second)
 			w.checkOutcome(t, 25)
 		})
 	}
 }
 
-// drawMeetings plans a day on which the first meetings come together.
-func (w *World) drawMeetings() {
+// scheduleCombinedFaults schedules random groups of two or three overlapping faults.
+func (w *World) scheduleCombinedFaults() {
 	end := 100 * time.Second
 	for range 5 {
 		at, together := w.randomSecs(10, 220), 2+w.rng.IntN(2)
 		for range together {
-			kind, from, d := w.rng.IntN(meetings), at+w.randomSecs(0, 15), w.randomSecs(3, 100)
-			w.At(from, func() { w.meet(kind, d) })
-			end = max(end, from+3*d) // of the other troubles, some last longer
+			kind, from, d := w.rng.IntN(combinedFaultKinds), at+w.randomSecs(0, 15), w.randomSecs(3, 100)
+			w.At(from, func() { w.injectCombinedFault(kind, d) })
+			end = max(end, from+3*d) // some random faults last longer than d
 		}
 	}
-	w.calmAfter(end)
+	w.endFaultsAfter(end)
 }
 
-// TestLeaderAlone: a leader is cut from the state service and from the other controllers,
-// not from workers and users. The next one shows some workers its token, by which the old
-// one learns that it leads no more; without that the workers stayed with it until its hold
-// was over, 24 s, and the next leaders gave way one after the other.
-func TestLeaderAlone(t *testing.T) {
+// TestIsolatedLeader cuts a leader from the state service and from the other controllers, but not
+// from workers and users. The next leader must send its token to some workers, from which the old
+// leader learns that it no longer leads. Otherwise the workers stayed with the old leader until the
+// end of its hold, 24 s, and the next leaders resigned one after the other. The hold is how long a
+// leader answers workers without a fresh proof that it leads.
+func TestIsolatedLeader(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
-		quiet bool // nobody cancels: the next leader has nothing to tell its workers
+		quiet bool // nobody cancels, so the next leader has no orders for its workers
 	}{{3, false}, {3, true}, {7, false}, {7, true}} {
 		nodes := c.nodes
 		w := worldOf(Config{Seed: uint64(90 + nodes), Nodes: nodes})
@@ -154,7 +159,7 @@
 		})
 		w.Run(68 * time.Second)
 		if _, ok := w.nodes[old].node.Leading(); ok {
-			t.Errorf("%d nodes: the old leader believes that it leads", nodes)
+			t.Errorf("%d nodes: the old leader still believes that it leads", nodes)
 		}
 		w.Run(72 * time.Second)
 		next := w.Leader()
@@ -163,12 +168,12 @@
 				t.Errorf("%d nodes: %s reports to node %d, not to the leader, %d", nodes, m.Name, m.node, next)
 			}
 		}
-		if j := w.jobs["j-2"]; !c.quiet && (j.cancelledAt == 0 || j.onMachines(w) > 0) {
-			t.Errorf("%d nodes: a job cancelled through another node at %v has %d tasks on machines", nodes, j.cancelledAt, j.onMachines(w))
+		if j := w.jobs["j-2"]; !c.quiet && (j.cancelledAt == 0 || j.tasksOnMachines(w) > 0) {
+			t.Errorf("%d nodes: a job cancelled through another node at %v has %d tasks on machines", nodes, j.cancelledAt, j.tasksOnMachines(w))
 		}
 		w.Run(119 * time.Second)
 		if l := w.Leader(); l != next {
-			t.Errorf("%d nodes: the leader has changed once more", nodes)
+			t.Errorf("%d nodes: the leader has changed again", nodes)
 		}
 		w.Run(400 * time.Second)
 		for _, b := range w.Violations {
@@ -177,11 +182,12 @@
 	}
 }
 
-// TestDeafMachines: half of the machines report and hear nothing for longer than three
-// leases, while jobs go on coming. Such a worker tries one node after the other, so that the
-// leader rarely hears it: it counts as silent, and nothing more is placed there. No leader
-// resigns for a start of unknown fate on them, and all jobs are done in the end.
-func TestDeafMachines(t *testing.T) {
+// TestMachinesThatReceiveNothing lets half of the machines send reports but receive nothing for
+// longer than three leases, while users submit jobs. Such a worker reports to one node after the
+// other, so the leader rarely gets its reports and must treat it as silent: it places nothing more
+// there. No leader may resign because of a start with an unknown outcome on these machines, and
+// all jobs must be done in the end.
+func TestMachinesThatReceiveNothing(t *testing.T) {
 	t.Parallel()
 	sent := 0
 	for _, seed := range seeds(t, 6) {
@@ -213,14 +219,14 @@
 		w.checkOutcome(t, 250)
 	}
 	if most := 25 * len(seeds(t, 6)); sent > most {
-		t.Errorf("%d starts were sent to machines that hear nothing, more than %d", sent, most)
+		t.Errorf("%d starts were sent to machines that receive nothing, more than %d", sent, most)
 	}
 }
 
-// TestEndsFarApart: jobs of two or three tasks whose tasks end far apart, since some machines
-// are much slower, while the leader ends again and again, before the marks of what is done are
-// durable, and machines with results are taken. Nothing is called done too early, all ends,
-// and little is run again for nothing.
+// TestEndsFarApart runs jobs of two or three tasks that end at very different times, since some
+// machines are much slower. The leader crashes repeatedly before the marks of done tasks are
+// durable, and machines with results are taken. No job may be reported done too early, all jobs
+// must end, and few tasks may run again needlessly.
 func TestEndsFarApart(t *testing.T) {
 	starts, tasks := 0, 0
 	for _, seed := range seeds(t, 10) {
--- a/internal/sim/model_test.go
+++ b/internal/sim/model_test.go
@@ -5,202 +5,212 @@
 	"time"
 )
 
-// The model is the placement protocol alone: two leaders of which one may be a former
-// one that doesn't know it, one task, two machines, and everything that is under way.
-// TestModel goes through all that can happen, in every order.
+// The model covers the placement protocol alone: two leaders, of which one may have lost its
+// leadership without knowing it, one task, two machines, and all messages in flight.
+// TestModel visits every state that any order of events can reach.
 
-type mWrite struct {
-	is             bool
-	by, tok, base  int8
-	attempt, place int8 // place -1: none
-	mute           bool // nobody waits for its answer any more
+// modelWrite is a write to the task's record that is in flight.
+type modelWrite struct {
+	exists                      bool
+	leader, token, baseRevision int8
+	attempt, machine            int8 // machine is -1 if the task is unplaced
+	unawaited                   bool // the leader no longer waits for its answer
 }
 
-type mStart struct {
-	is                    bool
-	tok, attempt, session int8
+// modelStart is a start command in flight.
+type modelStart struct {
+	exists                  bool
+	token, attempt, session int8
 }
 
-type mLeader struct {
-	tok            int8 // 0: doesn't lead, as far as it knows
-	rev            int8 // of the record that it knows
-	attempt, place int8
-	own            bool // it placed the task itself, durably
-	asked          bool // a write of its is under way
-	sent           bool // it has sent a start
-	maybe          bool // of which it doesn't know whether it still may arrive
+// modelLeader is what a controller believes about its leadership and the task.
+type modelLeader struct {
+	token            int8 // 0: it believes that it doesn't lead
+	revision         int8 // of the task record that it has read
+	attempt, machine int8
+	ownPlacement     bool // it placed the task itself, and the write succeeded
+	writing          bool // one of its writes is in flight
+	startSent        bool // it has sent a start
+	startUncertain   bool // that start may still arrive
 }
 
-type mMachine struct {
-	session, tok, running, known int8 // known: the newest attempt it remembers
-	gone                         bool
+// modelMachine is a worker and its lease session.
+type modelMachine struct {
+	session, token, running, newestAttempt int8 // newestAttempt is the newest attempt that the worker remembers
+	gone                                   bool
 }
 
-// mCopy is a report that was sent to a leader and comes a second time, or late: what it says
-// is as old as that. old says which leader has heard the machine since, and drops it.
-type mCopy struct {
-	is                   bool
-	m, tok, session, run int8
-	old                  [2]bool
+// modelReportCopy is a duplicate or delayed copy of a report to a leader. It holds the state at
+// the time of the original. stale marks the leaders that have received a newer message from the
+// machine since; they drop the copy.
+type modelReportCopy struct {
+	exists                           bool
+	machine, token, session, running int8
+	stale                            [2]bool
 }
 
-type mState struct {
-	copy           mCopy
-	copies         int8
-	token, rev     int8
-	attempt, place int8
-	leaders        [2]mLeader
-	writes         [2]mWrite
-	starts         [2]mStart // one to each machine
-	machines       [2]mMachine
+// modelState is a state of the whole model.
+type modelState struct {
+	copy             modelReportCopy
+	copiesMade       int8
+	token, revision  int8
+	attempt, machine int8
+	leaders          [2]modelLeader
+	writes           [2]modelWrite
+	starts           [2]modelStart // at most one to each machine
+	machines         [2]modelMachine
 }
 
-// mGuards are the conditions, to be taken out one by one.
-type mGuards struct{ leader, version, ambiguous, token, absence, fresh bool }
+// modelConditions are the protocol's conditions. The test disables them one by one.
+type modelConditions struct{ leader, version, uncertainStart, tokenSeen, absence, freshReport bool }
 
-// heard notes that a leader has heard something of the machine: older copies are dropped.
-func (s *mState) heard(leader int, m int) {
-	if s.copy.is && int(s.copy.m) == m {
-		s.copy.old[leader] = true
+// dropOlderCopies records that the leader has received a message from the machine, so that it
+// drops older copies of reports.
+func (s *modelState) dropOlderCopies(leader int, machine int) {
+	if s.copy.exists && int(s.copy.machine) == machine {
+		s.copy.stale[leader] = true
 	}
 }
 
-const mostTokens, mostAttempts = 2, 2
+// The bounds of the model: elections and attempts of the task.
+const modelMaxTokens, modelMaxAttempts = 2, 2
 
-// mBounds are how often a machine's lease may end, and how many reports are copied.
-type mBounds struct{ sessions, copies int8 }
+// modelBounds limits how often a machine's lease may end and how many reports are copied.
+type modelBounds struct{ sessions, copies int8 }
 
-func (s mState) next(g mGuards, b mBounds, do func(what string, n mState)) {
+// forEachSuccessor calls do with each state that one event can lead to.
+func (s modelState) forEachSuccessor(g modelConditions, b modelBounds, do func(what string, n modelState)) {
 	for i := range s.leaders {
 		l := s.leaders[i]
-		if s.token < mostTokens { // the lease ends, and this one is elected and reads
+		if s.token < modelMaxTokens { // the lease ends; this controller is elected and reads the record
 			n := s
 			n.token++
-			n.leaders[i] = mLeader{tok: n.token, rev: s.rev, attempt: s.attempt, place: s.place}
-			n.copy.old[i] = false // a new term has heard nobody
+			n.leaders[i] = modelLeader{token: n.token, revision: s.revision, attempt: s.attempt, machine: s.machine}
+			n.copy.stale[i] = false // in its new term it has received no messages yet
 			do("elected", n)
 		}
-		if l.tok == 0 {
+		if l.token == 0 {
 			continue
 		}
 		n := s
-		n.leaders[i] = mLeader{}
+		n.leaders[i] = modelLeader{}
 		do("crash", n)
-		if l.asked { // no answer: it writes again under the same conditions
+		if l.writing { // no answer: it will write again under the same conditions
 			n := s
-			n.leaders[i].asked = false
+			n.leaders[i].writing = false
 			for k := range n.writes {
-				if w := &n.writes[k]; w.is && w.by == int8(i) && w.tok == l.tok {
-					w.mute = true
+				if w := &n.writes[k]; w.exists && w.leader == int8(i) && w.token == l.token {
+					w.unawaited = true
 				}
 			}
 			do("no answer", n)
 		}
 		for k := range s.writes {
-			if l.place < 0 && !l.asked && !s.writes[k].is && l.attempt < mostAttempts {
+			if l.machine < 0 && !l.writing && !s.writes[k].exists && l.attempt < modelMaxAttempts {
 				for m := range s.machines {
 					if s.machines[m].gone {
 						continue
 					}
 					n := s
-					n.writes[k] = mWrite{is: true, by: int8(i), tok: l.tok, base: l.rev, attempt: l.attempt + 1, place: int8(m)}
-					n.leaders[i].asked = true
+					n.writes[k] = modelWrite{exists: true, leader: int8(i), token: l.token, baseRevision: l.revision, attempt: l.attempt + 1, machine: int8(m)}
+					n.leaders[i].writing = true
 					do("plan", n)
 				}
 				break
 			}
 		}
-		if l.place >= 0 && !s.starts[l.place].is && (l.own || l.tok > 0) {
-			m := s.machines[l.place]
-			// Of what an earlier leader placed, a start is sent again only to a worker
-			// that has seen our token, so that no older copy counts any more.
-			if !m.gone && (l.own || !g.token || m.tok >= l.tok) {
+		if l.machine >= 0 && !s.starts[l.machine].exists && (l.ownPlacement || l.token > 0) {
+			m := s.machines[l.machine]
+			// For a placement by an earlier leader, a start is sent again only to a worker
+			// that has seen this leader's token: the worker then rejects older copies.
+			if !m.gone && (l.ownPlacement || !g.tokenSeen || m.token >= l.token) {
 				n := s
-				n.starts[l.place] = mStart{true, l.tok, l.attempt, m.session}
-				n.leaders[i].sent, n.leaders[i].maybe = true, true
+				n.starts[l.machine] = modelStart{true, l.token, l.attempt, m.session}
+				n.leaders[i].startSent, n.leaders[i].startUncertain = true, true
 				do("start", n)
 			}
 		}
 		for m := range s.machines {
 			x := s.machines[m]
-			if x.gone || x.tok > l.tok {
-				continue // it obeys a later one, whom this one hears of and gives way
+			if x.gone || x.token > l.token {
+				continue // it follows a later leader; this one learns of that and resigns
 			}
-			// A report is answered with the token.
+			// The answer to a report carries the token.
 			n := s
-			n.machines[m].tok = l.tok
-			if s.copies < b.copies && m == 0 { // the machines are alike
+			n.machines[m].token = l.token
+			if s.copiesMade < b.copies && m == 0 { // the machines are alike
 				n := s
-				n.copy, n.copies = mCopy{is: true, m: int8(m), tok: x.tok, session: x.session, run: x.running}, s.copies+1
+				n.copy, n.copiesMade = modelReportCopy{exists: true, machine: int8(m), token: x.token, session: x.session, running: x.running}, s.copiesMade+1
 				do("a report is copied", n)
 			}
-			n.heard(i, m)
-			if l.place == int8(m) && x.running != l.attempt {
-				// Absence is proven if no start of ours may arrive, and none of an earlier
-				// leader's: the worker has seen our token before.
-				sure := !(l.maybe && s.starts[m].is) && (l.own || x.tok >= l.tok)
-				if !g.ambiguous {
-					sure = l.own || x.tok >= l.tok
+			n.dropOlderCopies(i, m)
+			if l.machine == int8(m) && x.running != l.attempt {
+				// The report proves that the task isn't there if no start can still arrive,
+				// neither from this leader nor from an earlier one: the worker had seen this
+				// leader's token before.
+				sure := !(l.startUncertain && s.starts[m].exists) && (l.ownPlacement || x.token >= l.token)
+				if !g.uncertainStart {
+					sure = l.ownPlacement || x.token >= l.token
 				}
-				if !g.token {
-					sure = !(l.maybe && s.starts[m].is)
+				if !g.tokenSeen {
+					sure = !(l.startUncertain && s.starts[m].exists)
 				}
-				if !g.absence || sure && (l.sent || !l.own) {
-					n.leaders[i].place, n.leaders[i].own, n.leaders[i].sent, n.leaders[i].maybe = -1, false, false, false
+				if !g.absence || sure && (l.startSent || !l.ownPlacement) {
+					n.leaders[i].machine, n.leaders[i].ownPlacement, n.leaders[i].startSent, n.leaders[i].startUncertain = -1, false, false, false
 				}
 			}
 			do("report", n)
-			n.machines[m].tok = x.tok
+			n.machines[m].token = x.token
 			do("report, its answer lost", n)
-			if l.place == int8(m) { // the cloud's 200 to a return
+			if l.machine == int8(m) { // the cloud answers 200 when the machine is returned
 				n := s
-				n.machines[m] = mMachine{gone: true}
-				n.starts[m] = mStart{}
-				n.leaders[i].place, n.leaders[i].own, n.leaders[i].sent, n.leaders[i].maybe = -1, false, false, false
+				n.machines[m] = modelMachine{gone: true}
+				n.starts[m] = modelStart{}
+				n.leaders[i].machine, n.leaders[i].ownPlacement, n.leaders[i].startSent, n.leaders[i].startUncertain = -1, false, false, false
 				do("return", n)
 			}
 		}
 	}
 	for k, w := range s.writes {
-		if !w.is {
+		if !w.exists {
 			continue
 		}
 		n := s
-		n.writes[k] = mWrite{}
+		n.writes[k] = modelWrite{}
 		do("write lost", n)
-		if (!g.leader || w.tok == s.token) && (!g.version || w.base == s.rev) {
-			n.rev, n.attempt, n.place = s.rev+1, w.attempt, w.place
-			late := n // without an answer: the leader asks for the record, or is gone
-			if l := &n.leaders[w.by]; l.tok == w.tok && !w.mute {
-				*l = mLeader{tok: l.tok, rev: n.rev, attempt: w.attempt, place: w.place, own: true}
+		if (!g.leader || w.token == s.token) && (!g.version || w.baseRevision == s.revision) {
+			n.revision, n.attempt, n.machine = s.revision+1, w.attempt, w.machine
+			late := n // without an answer: the leader reads the record again, or no longer leads
+			if l := &n.leaders[w.leader]; l.token == w.token && !w.unawaited {
+				*l = modelLeader{token: l.token, revision: n.revision, attempt: w.attempt, machine: w.machine, ownPlacement: true}
 			}
 			do("written", n)
 			do("written late", late)
-		} else if l := &n.leaders[w.by]; l.tok == w.tok && !w.mute {
-			if w.tok != s.token && g.leader {
-				*l = mLeader{} // it hears that another leads
+		} else if l := &n.leaders[w.leader]; l.token == w.token && !w.unawaited {
+			if w.token != s.token && g.leader {
+				*l = modelLeader{} // it learns that another controller leads
 			} else {
-				l.asked, l.rev, l.attempt = false, s.rev, max(l.attempt, s.attempt) // it writes anew
+				l.writing, l.revision, l.attempt = false, s.revision, max(l.attempt, s.attempt) // it may write again
 			}
 			do("refused", n)
 		}
 	}
-	if c := s.copy; c.is {
+	if c := s.copy; c.exists {
 		n := s
-		n.copy = mCopy{}
+		n.copy = modelReportCopy{}
 		do("copy lost", n)
 		for i := range s.leaders {
 			l := s.leaders[i]
-			if l.tok == 0 || c.old[i] || c.tok > l.tok || l.place != c.m || c.run == l.attempt || s.machines[c.m].gone {
+			if l.token == 0 || c.stale[i] || c.token > l.token || l.machine != c.machine || c.running == l.attempt || s.machines[c.machine].gone {
 				continue
 			}
-			// The same conclusions as from any report; the answer goes nowhere. A placement
-			// that was seen in one copy and is not in the next is not modelled apart: fresh
-			// covers both.
-			sure := !(l.maybe && s.starts[c.m].is) && (l.own || c.tok >= l.tok || !g.fresh)
-			if sure && (l.sent || !l.own) {
+			// The leader concludes the same as from any report; the worker ignores the answer.
+			// The model has no separate case for a placement that one copy shows and the next
+			// doesn't: freshReport covers both.
+			sure := !(l.startUncertain && s.starts[c.machine].exists) && (l.ownPlacement || c.token >= l.token || !g.freshReport)
+			if sure && (l.startSent || !l.ownPlacement) {
 				n := s
-				n.leaders[i].place, n.leaders[i].own, n.leaders[i].sent, n.leaders[i].maybe = -1, false, false, false
+				n.leaders[i].machine, n.leaders[i].ownPlacement, n.leaders[i].startSent, n.leaders[i].startUncertain = -1, false, false, false
 				do("copy", n)
 			}
 		}
@@ -210,51 +220,51 @@
 		if x.gone {
 			continue
 		}
-		if c := s.starts[m]; c.is {
+		if c := s.starts[m]; c.exists {
 			n := s
-			n.starts[m] = mStart{}
+			n.starts[m] = modelStart{}
 			do("start lost", n)
-			if c.tok >= x.tok && c.session == x.session {
-				n.machines[m].tok = c.tok
-				for i := range n.leaders { // whose start it is hears the answer
-					if n.leaders[i].tok == c.tok {
-						n.heard(i, m)
+			if c.token >= x.token && c.session == x.session {
+				n.machines[m].token = c.token
+				for i := range n.leaders { // the leader that sent the start receives the answer
+					if n.leaders[i].token == c.token {
+						n.dropOlderCopies(i, m)
 					}
 				}
-				if x.running == 0 && c.attempt > x.known {
-					n.machines[m].running, n.machines[m].known = c.attempt, c.attempt
+				if x.running == 0 && c.attempt > x.newestAttempt {
+					n.machines[m].running, n.machines[m].newestAttempt = c.attempt, c.attempt
 				}
 				do("started", n)
 			}
 		}
-		if x.running > 0 { // it fails
+		if x.running > 0 { // the task fails
 			n := s
 			n.machines[m].running = 0
 			do("exit", n)
 		}
-		if x.session < b.sessions { // its lease ends
+		if x.session < b.sessions { // the worker's lease ends
 			n := s
-			n.machines[m] = mMachine{session: x.session + 1, tok: x.tok}
+			n.machines[m] = modelMachine{session: x.session + 1, token: x.token}
 			do("lease ends", n)
 		}
 	}
 }
 
-// explore goes through all states; it returns how many there are and the first way
-// to one in which the task runs twice.
-func explore(g mGuards, b mBounds, most int) (states int, way []string) {
-	start := mState{place: -1}
+// exploreModel visits up to maxStates states. It returns their number and the first trace to a state
+// in which the task runs twice.
+func exploreModel(g modelConditions, b modelBounds, maxStates int) (states int, trace []string) {
+	start := modelState{machine: -1}
 	type from struct {
-		s    mState
+		s    modelState
 		what string
 	}
-	seen := map[mState]from{start: {}}
-	queue := []mState{start}
-	for len(queue) > 0 && len(seen) < most {
+	seen := map[modelState]from{start: {}}
+	queue := []modelState{start}
+	for len(queue) > 0 && len(seen) < maxStates {
 		s := queue[0]
 		queue = queue[1:]
-		var bad *mState
-		s.next(g, b, func(what string, n mState) {
+		var bad *modelState
+		s.forEachSuccessor(g, b, func(what string, n modelState) {
 			if _, ok := seen[n]; ok || bad != nil {
 				return
 			}
@@ -266,48 +276,48 @@
 		})
 		if bad != nil {
 			for at := *bad; at != start; at = seen[at].s {
-				way = append([]string{seen[at].what}, way...)
+				trace = append([]string{seen[at].what}, trace...)
 			}
-			return len(seen), way
+			return len(seen), trace
 		}
 	}
 	return len(seen), nil
 }
 
-// TestModel proves of the model that the task never runs twice, and that it would
-// with any of the conditions taken out.
+// TestModel checks that the task never runs twice in the model, and that it does run twice if
+// any of the conditions is disabled.
 func TestModel(t *testing.T) {
 	t.Parallel()
-	all := mGuards{true, true, true, true, true, true}
-	for _, b := range []mBounds{{1, 0}, {0, 1}} {
-		begun := time.Now()
-		n, way := explore(all, b, 8_000_000)
-		if way != nil {
-			t.Fatalf("%+v: the task runs twice: %v", b, way)
+	all := modelConditions{true, true, true, true, true, true}
+	for _, b := range []modelBounds{{1, 0}, {0, 1}} {
+		began := time.Now()
+		n, trace := exploreModel(all, b, 8_000_000)
+		if trace != nil {
+			t.Fatalf("%+v: the task runs twice: %v", b, trace)
 		}
-		t.Logf("%+v: %d states in %v", b, n, time.Since(begun).Round(time.Millisecond))
+		t.Logf("%+v: %d states in %v", b, n, time.Since(began).Round(time.Millisecond))
 	}
 	for _, c := range []struct {
-		name string
-		out  func(g *mGuards)
+		name    string
+		disable func(g *modelConditions)
 	}{
-		{"the leader's key in a write's conditions", func(g *mGuards) { g.leader = false }},
-		{"the record's version in a write's conditions", func(g *mGuards) { g.version = false }},
-		{"a start that may yet arrive", func(g *mGuards) { g.ambiguous = false }},
-		{"the worker has seen our token", func(g *mGuards) { g.token = false }},
-		{"proof of absence", func(g *mGuards) { g.absence = false }},
-		{"a report that may be a copy", func(g *mGuards) { g.fresh = false }},
+		{"the leader's key in a write's conditions", func(g *modelConditions) { g.leader = false }},
+		{"the record's version in a write's conditions", func(g *modelConditions) { g.version = false }},
+		{"waiting for a start that may still arrive", func(g *modelConditions) { g.uncertainStart = false }},
+		{"requiring that the worker has seen the leader's token", func(g *modelConditions) { g.tokenSeen = false }},
+		{"proof of absence", func(g *modelConditions) { g.absence = false }},
+		{"dropping reports that may be old copies", func(g *modelConditions) { g.freshReport = false }},
 	} {
 		g := all
-		c.out(&g)
-		b := mBounds{1, 0}
-		if !g.fresh {
-			b = mBounds{0, 1}
+		c.disable(&g)
+		b := modelBounds{1, 0}
+		if !g.freshReport {
+			b = modelBounds{0, 1}
 		}
-		n, way := explore(g, b, 3_000_000)
-		if way == nil {
-			t.Errorf("without %s nothing happens in %d states", c.name, n)
+		n, trace := exploreModel(g, b, 3_000_000)
+		if trace == nil {
+			t.Errorf("without %s the task never runs twice in %d states", c.name, n)
 		}
-		t.Logf("without %s: after %d states %v", c.name, n, way)
+		t.Logf("without %s: after %d states %v", c.name, n, trace)
 	}
 }
--- a/internal/sim/odd_test.go
+++ b/internal/sim/odd_test.go
@@ -11,11 +11,12 @@
 	"brooklb/internal/wire"
 )
 
-// TestOddRequests sends, at every node, each field absent, null, of a wrong type and out of
-// range, and jobs that can never run, while all is well, while a node has just come back and
-// while the state service refuses it: 400 and 422 as the protocol has it, 503 where a node
-// can't know, never 201. Submissions and cancellations of jobs in every state are repeated.
-func TestOddRequests(t *testing.T) {
+// TestInvalidRequests sends every node jobs with each field absent, null, of a wrong type and out
+// of range, and jobs that can never run: without faults, just after a node has restarted, and while
+// the state service refuses a node. The answers must be 400 or 422 as in the protocol, or 503 if a
+// node can't decide, and never 201. Users also repeat submissions and cancellations of jobs in
+// every state.
+func TestInvalidRequests(t *testing.T) {
 	for _, seed := range seeds(t, 2) {
 		w := world(46000 + seed)
 		w.Workload(30, 100*time.Second)
@@ -35,7 +36,7 @@
 		w.At(55*time.Second, func() { w.UnusualRequests(200 * time.Second) })
 		w.Run(60*time.Second + time.Duration(3*len(invalidJobs))*100*time.Millisecond + 10*time.Second)
 		if w.InvalidRefused < sent {
-			t.Errorf("seed %d: %d of %d were refused while all was well", seed, w.InvalidRefused, sent)
+			t.Errorf("seed %d: only %d of %d invalid requests were refused without faults", seed, w.InvalidRefused, sent)
 		}
 		for i := range 30 {
 			w.At(w.now+w.randomSecs(1, 150), func() {
@@ -55,10 +56,10 @@
 	}
 }
 
-// TestRefusedForGoodOnlyIfUnknown guards against a repeated submission that is refused with
-// 422, which counts as forgotten: a node whose replica is behind, and which knows other
-// machine types than the node that accepted the job, has to ask before it says so.
-func TestRefusedForGoodOnlyIfUnknown(t *testing.T) {
+// TestPermanentRefusalOnlyIfUnknown guards against refusing a repeated submission of an accepted
+// job with 422, as if the job were lost. A node whose replica is behind, and which knows other
+// machine types than the node that accepted the job, must ask the state service first.
+func TestPermanentRefusalOnlyIfUnknown(t *testing.T) {
 	w := world(47)
 	w.Run(20 * time.Second)
 	behind := (w.Leader() + 1) % 3
@@ -72,7 +73,7 @@
 	if ask(); got != 422 {
 		t.Fatalf("a job that fits no machine got %d", got)
 	}
-	// Accepted by a node that knows larger machines, while this one hears nothing of it.
+	// A node that knows larger machines accepts the job; this node's replica doesn't show it yet.
 	spec, err := wire.DecodeJob(body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sim/outage_test.go
+++ b/internal/sim/outage_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestOutages draws long outages, just before which users cancel through any node, nodes are
-// refused alone, cut from each other (what is held arrives in the outage), end, are paused,
-// and workers reach only some: nothing cancelled may outlive cancel_s, nor run twice.
+// TestOutages plays long outages of the state service. Around their beginning users cancel through
+// any node, the state service refuses single nodes, nodes are cut from each other (delayed messages
+// arrive in the outage), crash or are paused, and workers reach only some nodes. No task may run
+// longer than cancel_s after its cancellation, and no task may run twice.
 func TestOutages(t *testing.T) {
 	t.Parallel()
 	killed, ran := 0, 0
@@ -75,9 +76,10 @@
 	t.Logf("%d of %d tasks that ran were killed by their workers' leases", killed, ran)
 }
 
-// TestLeaderStaysThroughAnOutage guards against a leader that resigns in a long outage, or as
-// soon as it is over, and returns its machines, since it has had to send the workers away: one follower is cut from it,
-// so that its hold runs out.
+// TestLeaderStaysThroughAnOutage guards against a leader that resigns in a long outage, or as soon
+// as it is over, and returns its machines because it had to refuse the workers' reports. One
+// follower is cut from the leader, so that its hold ends: the time for which it answers workers
+// without a fresh proof that it leads.
 func TestLeaderStaysThroughAnOutage(t *testing.T) {
 	for _, seed := range seeds(t, 3) {
 		w := world(31000 + seed)
@@ -99,7 +101,7 @@
 			t.Errorf("seed %d: %d leads after the outage, %d before", seed, l, old)
 		}
 		if w.KilledByLease == 0 {
-			t.Errorf("seed %d: no lease ran out: the day didn't come to what it should show", seed)
+			t.Errorf("seed %d: no lease ended: the simulation did not reach the state under test", seed)
 		}
 		w.Run(500 * time.Second)
 		w.checkOutcome(t, 1)
--- a/internal/sim/polls_test.go
+++ b/internal/sim/polls_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pollWorld is a world with running and ended jobs, and a node that serves users.
+// pollWorld returns a simulation with running and ended jobs, and a follower that serves users.
 func pollWorld() (w *World, s *simNode) {
 	w = world(61)
 	for i := range 40 {
@@ -22,9 +22,9 @@
 	return w, w.nodes[(w.Leader()+1)%3]
 }
 
-// TestPollStorm guards against polls that cost the state service as much as
-// they are many: hundreds a second of jobs that run are confirmed together, and
-// those of ended jobs not at all.
+// TestPollStorm guards against a load on the state service in proportion to the number of polls. A
+// node must confirm the polls of running jobs, hundreds a second, in batches, and needs no
+// confirmation for those of ended jobs.
 func TestPollStorm(t *testing.T) {
 	for _, running := range []bool{true, false} {
 		w, s := pollWorld()
@@ -50,7 +50,7 @@
 		if answered < n*95/100 || answered+refused != n {
 			t.Errorf("running %v: %d of %d polls answered, %d refused", running, answered, n, refused)
 		}
-		// A follower has a quarter of 150 requests a second, for all it does.
+		// A follower may make a quarter of the 150 requests a second, for all of its work.
 		if asked > 12*38 || (!running && asked > 12*20) {
 			t.Errorf("running %v: %d requests to the state service for %d polls", running, asked, n)
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkPoll measures a poll, the stand-ins' share included.
+// BenchmarkPoll measures a poll, including the work of the stand-ins.
 func BenchmarkPoll(b *testing.B) {
 	for _, running := range []bool{true, false} {
 		b.Run(fmt.Sprintf("running=%v", running), func(b *testing.B) {
--- a/internal/sim/refused_test.go
+++ b/internal/sim/refused_test.go
@@ -8,68 +8,73 @@
 	"brooklb/internal/actor"
 )
 
-// refusal is a day on which jobs are cancelled at the very moment at which the state service
-// refuses the leader alone, and a second later it is out for longer than cancel_s.
-type refusal struct {
-	name    string
-	refused time.Duration // for so long; 0: 150 s
-	ends    bool          // the node that confirms ends at once, and is back
-	cut     bool          // it is cut from the leader, whom it can't tell
-	alone   bool          // the leader is cut from all others
-	stay    bool          // workers reach the old leader only
-	hang    float64       // machines of these tasks hang for so many leases
-	saving  bool          // gangs are saving when the cancellation comes
-	late    time.Duration // what it tells the leader is on its way for so long
-	nodes   int           // 0: 3
+// refusalCase is a sequence of faults: users cancel jobs close to the moment at which the state
+// service begins to refuse the leader alone, and a second later the service is down for all for
+// longer than cancel_s. The confirmer is the follower that confirms the cancellations.
+type refusalCase struct {
+	name               string
+	refusedFor         time.Duration // how long the leader is refused; 0: 150 s
+	confirmerCrashes   bool          // the confirmer crashes after the first confirmation, and restarts
+	confirmerCut       bool          // the confirmer is cut from the leader and can't notify it
+	leaderCutFromPeers bool          // the leader is cut from all other controllers
+	workersStay        bool          // workers reach only the old leader
+	hangLeases         float64       // how long two machines of cancelled tasks hang, in leases
+	saving             bool          // gangs are saving when the cancellation arrives
+	noticeDelay        time.Duration // the longest delay of the confirmer's messages to the leader
+	nodes              int           // 0: 3
 }
 
-var refusals = []refusal{
+var refusalCases = []refusalCase{
 	{name: "nothing else"},
-	{name: "refused for a moment", refused: 900 * time.Millisecond},
-	{name: "the node that confirms ends", ends: true},
-	{name: "it is cut from the leader", cut: true},
-	{name: "it is cut from the leader, whom the workers stay with", cut: true, stay: true},
-	{name: "its cancellation are on their way", late: 800 * time.Millisecond, stay: true},
-	{name: "its cancellation are on their way, then it ends", late: 800 * time.Millisecond, ends: true, stay: true},
-	{name: "machines hang for half a lease", hang: 0.5, stay: true},
-	{name: "machines hang for just less than a lease", hang: 0.97, stay: true, cut: true},
-	{name: "machines hang for just more than a lease", hang: 1.03, stay: true, cut: true},
-	{name: "gangs are saving", saving: true, cut: true, stay: true},
-	{name: "gangs are saving, their machines hang", saving: true, hang: 0.97, cut: true, stay: true},
-	{name: "the leader is cut from all", alone: true, stay: true},
-	{name: "the leader is cut from all, machines hang", alone: true, stay: true, hang: 0.97},
-	{name: "the leader is cut from all, gangs are saving", alone: true, stay: true, saving: true},
-	{name: "seven controllers", nodes: 7, cut: true, stay: true},
+	{name: "refused for a moment", refusedFor: 900 * time.Millisecond},
+	{name: "the confirmer crashes", confirmerCrashes: true},
+	{name: "the confirmer is cut from the leader", confirmerCut: true},
+	{name: "the confirmer is cut from the leader, workers reach only the leader", confirmerCut: true, workersStay: true},
+	{name: "the confirmer's messages are delayed", noticeDelay: 800 * time.Millisecond, workersStay: true},
+	{name: "the confirmer's messages are delayed, then it crashes", noticeDelay: 800 * time.Millisecond, confirmerCrashes: true, workersStay: true},
+	{name: "machines hang for half a lease", hangLeases: 0.5, workersStay: true},
+	{name: "machines hang for just less than a lease", hangLeases: 0.97, workersStay: true, confirmerCut: true},
+	{name: "machines hang for just more than a lease", hangLeases: 1.03, workersStay: true, confirmerCut: true},
+	{name: "gangs are saving", saving: true, confirmerCut: true, workersStay: true},
+	{name: "gangs are saving, their machines hang", saving: true, hangLeases: 0.97, confirmerCut: true, workersStay: true},
+	{name: "the leader is cut from all", leaderCutFromPeers: true, workersStay: true},
+	{name: "the leader is cut from all, machines hang", leaderCutFromPeers: true, workersStay: true, hangLeases: 0.97},
+	{name: "the leader is cut from all, gangs are saving", leaderCutFromPeers: true, workersStay: true, saving: true},
+	{name: "seven controllers", nodes: 7, confirmerCut: true, workersStay: true},
 }
 
-// TestCancelledAsTheLeaderIsRefused has the cancellations come in every order with the refusal
-// within a fifth of a second. The tasks are gone within cancel_s, whoever knew of it.
+// TestCancelledAsTheLeaderIsRefused sends the cancellations up to a fifth of a second before and
+// after the refusal begins. The tasks must end within cancel_s, also if the leader that answers
+// their workers doesn't know of the cancellation.
 func TestCancelledAsTheLeaderIsRefused(t *testing.T) {
-	for _, c := range refusals {
+	for _, c := range refusalCases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			longest, confirmed, ran, answered := time.Duration(0), 0, 0, 0
+			longest, confirmed, running, answered := time.Duration(0), 0, 0, 0
 			for k, at := range []time.Duration{-200, -60, -15, 0, 15, 60, 200} {
 				for _, seed := range seeds(t, 2) {
-					w, did := c.play(uint64(k)*50+seed, at*time.Millisecond)
+					w, counts := c.run(uint64(k)*50+seed, at*time.Millisecond)
 					for _, b := range w.Violations {
-						t.Errorf("asked %v ms after the refusal, seed %d: %s", int(at), seed, b)
+						t.Errorf("cancelled %v ms after the refusal, seed %d: %s", int(at), seed, b)
 					}
 					longest = max(longest, w.LongestCancelled)
-					confirmed, ran, answered = confirmed+did.confirmed, ran+did.ran, answered+did.answered
+					confirmed, running, answered = confirmed+counts.confirmed, running+counts.running, answered+counts.answered
 				}
 			}
-			t.Logf("%d cancellations confirmed before the outage, %d tasks ran then, %d reports answered in it, the last task gone after %v", confirmed, ran, answered, longest.Round(100*time.Millisecond))
-			if confirmed < 14 || ran < 28 || answered == 0 && c.stay {
-				t.Error("the meeting did not come about")
+			t.Logf("%d cancellations confirmed before the outage, %d tasks ran then, %d reports answered in it, the last task gone after %v", confirmed, running, answered, longest.Round(100*time.Millisecond))
+			if confirmed < 14 || running < 28 || answered == 0 && c.workersStay {
+				t.Error("the simulation did not reach the state under test")
 			}
 		})
 	}
 }
 
-type meeting struct{ confirmed, ran, answered int }
+// refusalCounts are the cancellations confirmed before the outage, the tasks that ran then, and the
+// reports that the old leader answered from the refusal to the end of the outage.
+type refusalCounts struct{ confirmed, running, answered int }
 
-func (c refusal) play(seed uint64, asked time.Duration) (w *World, did meeting) {
+// run simulates the case; users cancel at the given time after the refusal begins.
+func (c refusalCase) run(seed uint64, asked time.Duration) (w *World, counts refusalCounts) {
 	const from = 60 * time.Second
 	cfg := Config{Seed: 1600 + seed, Nodes: max(3, c.nodes)}
 	w = worldOf(cfg)
@@ -90,14 +95,14 @@
 			}
 			return confirmer
 		}
-		if c.cut {
+		if c.confirmerCut {
 			w.Cut(w.NodeName(old), w.NodeName(confirmer), 100*time.Second, seed%2 == 0)
 		}
-		if c.alone {
+		if c.leaderCutFromPeers {
 			w.CutPeers(old, 100*time.Second, seed%2 == 0)
 		}
 		for _, m := range w.Machines() {
-			if c.stay {
+			if c.workersStay {
 				for i := range w.nodes {
 					if i != old {
 						w.Cut(w.NodeName(i), m.Name, 150*time.Second, false)
@@ -107,17 +112,17 @@
 		}
 	})
 	w.RequestDelay = func(from string, a actor.Call) time.Duration {
-		if c.late > 0 && old >= 0 && from == w.NodeName(confirmer) && a.Addr == w.Settings[old].ClusterListen {
-			return w.randomSecs(0, c.late.Seconds())
+		if c.noticeDelay > 0 && old >= 0 && from == w.NodeName(confirmer) && a.Addr == w.Settings[old].ClusterListen {
+			return w.randomSecs(0, c.noticeDelay.Seconds())
 		}
 		return 0
 	}
 	if c.saving {
 		w.At(from+asked-2*time.Second, func() {
-			for _, m := range w.Machines() { // told to save by somebody, such as a drain
+			for _, m := range w.Machines() { // as if a drain had stopped them
 				for _, r := range m.sortedTasks() {
 					if r.job.kind == "ensemble" || r.job.snapshotS > 0 {
-						r.save(6 * time.Second)
+						r.beginSaving(6 * time.Second)
 					}
 				}
 			}
@@ -125,11 +130,11 @@
 	}
 	w.At(from, func() {
 		before = w.Answered[old]
-		refused := c.refused
-		if refused == 0 {
-			refused = 150 * time.Second
+		refusedFor := c.refusedFor
+		if refusedFor == 0 {
+			refusedFor = 150 * time.Second
 		}
-		w.State.RefuseNode(w.NodeName(old), refused)
+		w.State.RefuseNode(w.NodeName(old), refusedFor)
 	})
 	w.At(from+asked, func() {
 		hung := 0
@@ -140,19 +145,19 @@
 			j := w.jobs[fmt.Sprintf("j-%d", i)]
 			w.cancel(j)
 			for _, r := range j.runners() {
-				if c.hang > 0 && hung < 2 && !r.m.hanging() {
+				if c.hangLeases > 0 && hung < 2 && !r.m.hanging() {
 					hung++
-					r.m.Hang(time.Duration(c.hang * float64(w.lease())))
+					r.m.Hang(time.Duration(c.hangLeases * float64(w.lease())))
 				}
 			}
 		}
 	})
 	ended := false
-	var look func()
+	var watchConfirmations func()
 	seen := map[string]bool{}
-	look = func() {
+	watchConfirmations = func() {
 		if w.now < from+time.Second {
-			w.after(2*time.Millisecond, look)
+			w.after(2*time.Millisecond, watchConfirmations)
 		}
 		for i := range 8 {
 			j := w.jobs[fmt.Sprintf("j-%d", i)]
@@ -160,24 +165,24 @@
 				continue
 			}
 			seen[j.id] = true
-			did.confirmed++
-			did.ran += j.onMachines(w)
-			if c.ends && !ended {
+			counts.confirmed++
+			counts.running += j.tasksOnMachines(w)
+			if c.confirmerCrashes && !ended {
 				ended = true
 				w.Crash(confirmer, w.randomSecs(0.1, 5))
 			}
 		}
 	}
-	w.At(from+min(0, asked), look)
+	w.At(from+min(0, asked), watchConfirmations)
 	w.At(from+time.Second, func() { w.State.Outage(w.cancelDeadline() + 15*time.Second) })
 	w.Run(from + w.cancelDeadline() + 15*time.Second)
-	did.answered = w.Answered[old] - before
+	counts.answered = w.Answered[old] - before
 	w.Run(from + 200*time.Second)
-	return w, did
+	return w, counts
 }
 
-// save has the task save from now on, as if it had been told to stop a moment ago.
-func (r *runner) save(d time.Duration) {
+// beginSaving lets a running task save for d and then end, as after a command to stop.
+func (r *runner) beginSaving(d time.Duration) {
 	if r.phase != "running" {
 		return
 	}
@@ -186,28 +191,28 @@
 	r.schedule(d, func() { r.exit("halted", true) })
 }
 
-// TestHungAndCancelled: machines hang, jobs that run there are cancelled, and the machines go on
-// just inside their lease, with the commands that were held up. What is cancelled is gone soon
-// after that, or the machine is returned; also when the leader has changed meanwhile, and when
-// the whole zone hangs, which looks like a cut.
+// TestHungAndCancelled cancels jobs whose machines hang. In most cases the machines resume just
+// before the end of their lease, when delayed commands arrive. The cancelled tasks must end soon
+// after that, or the machine must be returned; also if the leader has changed meanwhile, and if a
+// whole zone hangs, which looks like a network partition.
 func TestHungAndCancelled(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		hang  float64 // leases
-		zone  bool    // all machines of a zone, else three
+		zone  bool    // all machines of a zone hang, otherwise three machines
 		crash bool
 		save  bool
 	}{
 		{"for a moment", 0.15, false, false, false},
-		{"just inside the lease", 0.97, false, false, false},
-		{"just inside the lease, a zone", 0.97, true, false, false},
-		{"just inside the lease, a zone, the leader changes", 0.97, true, true, false},
+		{"just shorter than the lease", 0.97, false, false, false},
+		{"just shorter than the lease, a zone", 0.97, true, false, false},
+		{"just shorter than the lease, a zone, the leader changes", 0.97, true, true, false},
 		{"saving, a zone", 0.9, true, true, true},
 		{"longer than a lease, a zone", 1.2, true, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			longest, on := time.Duration(0), 0
+			longest, hangingTasks := time.Duration(0), 0
 			for _, seed := range seeds(t, 4) {
 				const from = 60 * time.Second
 				w := worldOf(Config{Seed: 1700 + seed, Nodes: 3})
@@ -225,9 +230,9 @@
 						}
 						k++
 						for _, r := range m.sortedTasks() {
-							on++
+							hangingTasks++
 							if c.save {
-								r.save(6 * time.Second)
+								r.beginSaving(6 * time.Second)
 							}
 							if !r.job.cancelAsked {
 								w.after(w.randomSecs(0, 2), func() { w.cancel(r.job) })
@@ -250,9 +255,9 @@
 				w.checkNoBrokenRules(t)
 				longest = max(longest, w.LongestCancelled)
 			}
-			t.Logf("%d tasks on hanging machines, the last was gone after %v", on, longest.Round(100*time.Millisecond))
-			if on < 8 {
-				t.Error("the meeting did not come about")
+			t.Logf("%d tasks on hanging machines, the last was gone after %v", hangingTasks, longest.Round(100*time.Millisecond))
+			if hangingTasks < 8 {
+				t.Error("too few tasks were on hanging machines")
 			}
 			if most := time.Duration(max(c.hang, 0.5)*30+5) * time.Second; longest > most {
 				t.Errorf("a cancelled task was there for %v, more than %v", longest, most)
--- a/internal/sim/relay_test.go
+++ b/internal/sim/relay_test.go
@@ -8,9 +8,9 @@
 	"brooklb/internal/actor"
 )
 
-// TestRelay guards against users who are sent away by a node that the state
-// service refuses alone, or that a cut keeps from it: another node can answer
-// them at once (grown and ops days: most submissions that were late).
+// TestRelay guards against refusing users at a node that the state service refuses alone or that is
+// cut from it, although another node can answer them immediately. Such refusals caused most late
+// submissions.
 func TestRelay(t *testing.T) {
 	for _, cut := range []string{"refuse", "hold", "reset"} {
 		w := world(51)
@@ -45,7 +45,7 @@
 		ask("GET", "/v2/runs/j-1", nil, `"j-1"`, "2s")
 		ask("GET", "/v2/runs/j-77", nil, "no such job", "2s")
 		ask("POST", "/v2/runs/j-1/withdraw", nil, `"ref"`, "3s")
-		// In an outage that everybody has, it is refused without a detour.
+		// In an outage for all nodes, the node refuses without asking another node.
 		w.State.Outage(20 * time.Second)
 		w.Run(w.now + 4*time.Second)
 		ask("POST", "/v2/runs/j-2/withdraw", nil, "can't be asked", "2s")
--- a/internal/sim/slow_test.go
+++ b/internal/sim/slow_test.go
@@ -8,9 +8,9 @@
 	"brooklb/internal/settings"
 )
 
-// TestSlowMachines plays days on which some machines are much slower than the
-// others, as faulty ones are, and holds the jobs to their deadlines: 131 of 592
-// missed them while nobody noticed, 73 since such machines are set aside.
+// TestSlowMachines counts missed deadlines when some machines are much slower than the others, as
+// faulty ones are. 131 of 592 jobs missed them when slow machines were not detected, and 73 when
+// they are set aside.
 func TestSlowMachines(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []float64{1, 3} {
--- a/internal/sim/slowstate_test.go
+++ b/internal/sim/slowstate_test.go
@@ -7,10 +7,10 @@
 	"brooklb/internal/actor"
 )
 
-// TestEveryAnswerIsSlow: for a minute every answer of the state service takes a second or
-// more. Work goes on, at the pace that leaves, the leader stays, and users are answered or
-// refused within their own time. Answers that take longer than the proof of leading may be
-// old start nothing.
+// TestEveryAnswerIsSlow delays every answer of the state service for a minute, by 0.8 s to 3.3 s.
+// Tasks must still start, at a lower rate, the leader must stay, and most polls must be answered.
+// With the longest delay answers take longer than a proof of leadership is valid, so nothing
+// starts; the bounds for starts and polls apply to the shorter delays.
 func TestEveryAnswerIsSlow(t *testing.T) {
 	for _, slow := range []time.Duration{800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 		w := worldOf(Config{Seed: 51, Nodes: 3})
--- a/internal/sim/zone_test.go
+++ b/internal/sim/zone_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestZoneCutOff cuts a zone with workers and a controller off for longer than lease_s, with
-// the leader inside or outside, while jobs that run inside are cancelled and others submitted
-// outside. What was held is all delivered at the end, when users ask the controller that was
-// inside, whose replica is old. Nothing cancelled outlives cancel_s, nobody is told anything
-// old, and what was lost runs elsewhere.
+// TestZoneCutOff cuts off a zone with workers and a controller for longer than lease_s, with the
+// leader inside or outside. Meanwhile jobs are cancelled and others submitted outside. At the end
+// delayed messages are delivered, and users poll the controller inside, whose replica is old.
+// Cancelled tasks must end within cancel_s, users must get no outdated answers, and lost tasks must
+// run elsewhere.
 func TestZoneCutOff(t *testing.T) {
 	for _, inside := range []bool{true, false} {
 		for _, hold := range []bool{true, false} {
@@ -26,6 +26,8 @@
 	}
 }
 
+// zoneCutOff simulates one cut. With hold, messages are delayed until the end of the cut; otherwise
+// connections are reset.
 func zoneCutOff(t *testing.T, seed uint64, nodes int, inside, hold bool) {
 	t.Helper()
 	const from = 60 * time.Second
@@ -37,7 +39,7 @@
 			w.Submit(Job{ID: fmt.Sprintf("j-9%d", i), Kind: []string{"sweep", "standing", "ensemble"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 100, SnapshotS: 10, SaveS: 2})
 		}
 	})
-	in, on, told := -1, 0, 0
+	insideNode, zoneTasks, confirmed := -1, 0, 0
 	zone := ""
 	w.At(from, func() {
 		l := w.Leader()
@@ -50,17 +52,17 @@
 		}
 		for i := range w.nodes {
 			if w.nodes[i].settings.Location == zone {
-				in = i
+				insideNode = i
 			}
 		}
 		for _, m := range w.Machines() {
 			if m.Zone == zone {
-				on += len(m.tasks)
+				zoneTasks += len(m.tasks)
 			}
 		}
 		w.CutZone(zone, lasts, hold)
 		w.UserNode = func() int {
-			if w.now < from+lasts { // users outside are led to the others
+			if w.now < from+lasts { // users outside go to the controllers outside
 				for i := range w.nodes {
 					if w.nodes[i].settings.Location != zone && w.rng.IntN(2) == 0 {
 						return i
@@ -68,7 +70,7 @@
 				}
 			}
 			if w.now < from+lasts+15*time.Second {
-				return in
+				return insideNode
 			}
 			return -1
 		}
@@ -86,11 +88,11 @@
 	w.At(from+lasts-time.Second, func() {
 		for i := range 6 {
 			if w.jobs[fmt.Sprintf("j-9%d", i)].cancelledAt > 0 {
-				told++
+				confirmed++
 			}
 		}
 	})
-	w.At(from+lasts, func() { // all are asked about at once, at the node that comes back
+	w.At(from+lasts, func() { // users poll and resubmit all jobs at the node that was cut off
 		for _, id := range w.jobIDs() {
 			if w.jobs[id].accepted {
 				w.poll(w.jobs[id])
@@ -108,44 +110,44 @@
 	w.FaultsEndAt = from + lasts
 	w.Run(700 * time.Second)
 	w.checkOutcome(t, 20)
-	if on == 0 || told < 6 {
-		t.Errorf("seed %d: %d tasks in the zone, %d of 6 cancellations confirmed outside: the meeting did not come about", seed, on, told)
+	if zoneTasks == 0 || confirmed < 6 {
+		t.Errorf("seed %d: %d tasks in the zone, %d of 6 cancellations confirmed outside: the simulation did not reach the state under test", seed, zoneTasks, confirmed)
 	}
 }
 
-// TestOneZoneLosesMachines has jobs that are bound to one zone, gangs, arrays and services,
-// lose some or all machines of it, by death or by a cut in which their tasks run on: nothing
-// starts in another zone until they are proven gone (the rules), and then the work goes on,
-// there or where it was.
+// TestOneZoneLosesMachines runs gangs, arrays and services that are bound to one zone and lose some
+// or all machines there. The machines fail, or a cut separates them while their tasks still run.
+// The rule for one zone forbids a start elsewhere until those tasks are known to be gone. Then the
+// work must continue, in the same zone or in another.
 func TestOneZoneLosesMachines(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		share    float64
-		die      bool
-		lasts    time.Duration
-		apart    bool
-		crash    bool
-		pinned   bool // by `yard`, too
-		unboxed  bool // the zone's controllers are cut off, too
-		bootless bool // the zone has no new machines meanwhile
+		name           string
+		share          float64
+		die            bool
+		lasts          time.Duration
+		apart          bool
+		crash          bool
+		pinned         bool // some jobs also name the zone in `yard`
+		controllersToo bool // the zone's controllers are also cut off
+		noNewMachines  bool // no new machine comes up in the zone for 150 s
 	}{
 		{name: "all die", share: 1, die: true},
 		{name: "half die", share: 0.5, die: true},
-		{name: "all die, no new ones", share: 1, die: true, bootless: true},
+		{name: "all die, no new ones", share: 1, die: true, noNewMachines: true},
 		{name: "cut off for less than a lease", share: 1, lasts: 20 * time.Second},
 		{name: "cut off for longer", share: 1, lasts: 70 * time.Second},
-		{name: "back in the middle of the move", share: 1, lasts: 58 * time.Second, bootless: true},
+		{name: "cut ends while tasks move to another zone", share: 1, lasts: 58 * time.Second, noNewMachines: true},
 		{name: "half cut off for longer", share: 0.5, lasts: 70 * time.Second, apart: true},
 		{name: "cut off, the leader changes", share: 1, lasts: 70 * time.Second, crash: true},
 		{name: "pinned there", share: 1, lasts: 70 * time.Second, pinned: true, crash: true},
-		{name: "with its controllers", share: 1, lasts: 80 * time.Second, unboxed: true},
+		{name: "with its controllers", share: 1, lasts: 80 * time.Second, controllersToo: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for _, seed := range seeds(t, 3) {
 				const from = 60 * time.Second
 				w := worldOf(Config{Seed: 980 + seed, Nodes: 3, NodeZones: []string{"b", "c", "b"}})
-				if c.unboxed {
+				if c.controllersToo {
 					w = worldOf(Config{Seed: 980 + seed, Nodes: 3})
 				}
 				w.checkCancelled()
@@ -164,12 +166,12 @@
 				})
 				hit, there := 0, map[string]bool{}
 				w.At(from, func() {
-					count := map[string]int{} // the zone with most of them
+					count := map[string]int{} // tasks by zone; the zone with most tasks is hit
 					for _, m := range w.Machines() {
 						count[m.Zone] += len(m.tasks)
 					}
 					zone := "a"
-					if !c.pinned && !c.unboxed {
+					if !c.pinned && !c.controllersToo {
 						for _, z := range w.cfg.Zones {
 							if count[z] > count[zone] {
 								zone = z
@@ -186,16 +188,16 @@
 						}
 						if c.die {
 							m.Fail()
-						} else if !c.unboxed {
+						} else if !c.controllersToo {
 							for i := range w.nodes {
 								w.Cut(w.NodeName(i), m.Name, c.lasts, seed%2 == 0)
 							}
 						}
 					}
-					if c.unboxed {
+					if c.controllersToo {
 						w.CutZone(zone, c.lasts, seed%2 == 0)
 					}
-					if c.bootless {
+					if c.noNewMachines {
 						w.Cloud.BootFactor = func(z string) float64 {
 							if z == zone && w.now < from+150*time.Second {
 								return -1
@@ -211,7 +213,7 @@
 				w.Run(900 * time.Second)
 				w.checkOutcome(t, 6)
 				if hit < 3 || len(there) < 2 {
-					t.Errorf("seed %d: %d tasks of %d jobs were hit: the meeting did not come about", seed, hit, len(there))
+					t.Errorf("seed %d: %d tasks of %d jobs were hit: the simulation did not reach the state under test", seed, hit, len(there))
 				}
 			}
 		})
