--- a/internal/actor/actor.go
+++ b/internal/actor/actor.go
@@ -38,7 +38,7 @@
 	Done             func(Answer)
 }
 
-// ErrNotSent means that no connection could be made, so the peer has received nothing.
+// ErrNotSent means that no connection could be made, so the recipient has received nothing.
 var ErrNotSent = errors.New("not sent")
 
 // ErrRefused means, together with ErrNotSent, that the host itself refused the connection
@@ -55,7 +55,7 @@
 	Err    error
 }
 
-// Unsent reports whether the request certainly reached no peer.
+// Unsent reports whether the request certainly did not reach its recipient.
 func (a Answer) Unsent() bool { return errors.Is(a.Err, ErrNotSent) }
 
 // LongPause is the shortest gap in a process's clock that counts as a pause of the process: its
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -39,8 +39,8 @@
 	// CheckUnits returns an error if a job could never have the counted resources that it asks
 	// for. understood is false while a controller runs whose program doesn't count them.
 	CheckUnits func(s *model.Spec) (understood bool, err error)
-	// Gate admits submissions. If it is nil, all are admitted.
-	Gate    *intake.FairQueue
+	// Queue admits submissions. If it is nil, all are admitted.
+	Queue   *intake.FairQueue
 	pumping bool
 	// Healthy reports whether the node can take requests.
 	Healthy func() bool
@@ -59,7 +59,7 @@
 		if key == fleet.TypesKey && it != nil {
 			ts, err := fleet.DecodeTypes(it.Value)
 			if err != nil {
-				env.Log().Error("machine types can't be read", "key", key, "err", err)
+				env.Log().Error("machine types can't be read, left unchanged", "key", key, "err", err)
 				return
 			}
 			a.types = ts
@@ -71,8 +71,8 @@
 // Serve answers a user's request; it returns false for paths that other packages serve. A
 // request that can't be answered because the state service can't be reached is forwarded once
 // to another node, unless another node has forwarded it to this one.
-func (a *Actor) Serve(r *httpx.Request, passedOn bool, reply func(httpx.Response)) bool {
-	if passedOn || a.Relay == nil || r.Path == wire.PathHealth {
+func (a *Actor) Serve(r *httpx.Request, relayed bool, reply func(httpx.Response)) bool {
+	if relayed || a.Relay == nil || r.Path == wire.PathHealth {
 		return a.serve(r, reply)
 	}
 	// The request's buffer may be reused before the answer comes.
@@ -236,14 +236,14 @@
 		a.refuseUnlessRecorded(s.ID, answer.Refuse(400, 0, "the description is too long"), reply)
 		return
 	}
-	if a.Gate == nil {
+	if a.Queue == nil {
 		a.create(s, t, nonce, 4, reply)
 		return
 	}
-	a.Gate.Offer(a.env.Now(), fair.Key{Team: s.Team, Class: s.Class}, s.Work(), func() { a.create(s, t, nonce, 4, reply) }, func(after int) {
+	a.Queue.Offer(a.env.Now(), fair.Key{Team: s.Team, Class: s.Class}, s.Work(), func() { a.create(s, t, nonce, 4, reply) }, func(after int) {
 		reply(answer.Refuse(429, after, "more jobs of class %q of team %q come than can be taken, come back in %d s", s.Class, s.Team, after))
 	})
-	if a.Gate.Waiting() > 0 && !a.pumping {
+	if a.Queue.Waiting() > 0 && !a.pumping {
 		a.pumping = true
 		a.env.After(pumpEvery, a.pump)
 	}
@@ -251,8 +251,8 @@
 
 // refuseUnlessRecorded answers with the refusal, unless the state service has a record of the
 // job. Otherwise a node whose replica is behind could answer a repeated submission with 422
-// although another node, which knew other machine types, has accepted the job. That would count
-// as a lost job.
+// although another node, which knew other machine types, has accepted the job. Its user would
+// then regard the accepted job as lost.
 func (a *Actor) refuseUnlessRecorded(id string, refusal httpx.Response, reply func(httpx.Response)) {
 	a.store.Read(ledger.JobKey(id), func(it *statestore.Item, ok bool) {
 		switch {
@@ -266,11 +266,11 @@
 	})
 }
 
-// pumpEvery is how often the gate checks for room while submissions wait.
+// pumpEvery is how often the queue admits or refuses submissions while some wait.
 const pumpEvery = 20 * time.Millisecond
 
 func (a *Actor) pump() {
-	a.pumping = a.Gate.Dispatch(a.env.Now())
+	a.pumping = a.Queue.Dispatch(a.env.Now())
 	if a.pumping {
 		a.env.After(pumpEvery, a.pump)
 	}
@@ -279,8 +279,8 @@
 // Paused is called when the process was paused. It refuses the submissions that wait, since
 // their users may have given up.
 func (a *Actor) Paused() {
-	if a.Gate != nil {
-		a.Gate.RefuseAll(a.env.Now())
+	if a.Queue != nil {
+		a.Queue.RefuseAll(a.env.Now())
 	}
 }
 
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer has the refusals that all packages with user requests share.
+// Package answer has the error responses that the packages serving users' requests share.
 package answer
 
 import (
--- a/internal/leader/earlier.go
+++ b/internal/leader/earlier.go
@@ -12,7 +12,7 @@
 )
 
 // endEarlier ends the lease that an earlier process with this node's label left behind. That
-// process has ended, so it doesn't lead, and all nodes would wait for a lease that nobody
+// process has ended, so it doesn't lead, and all nodes would wait for a lease that no process
 // renews. This process neither adopts nor renews the lease. The leader key disappears with its
 // lease, and the first node that creates the key again leads next. If the earlier process runs
 // nevertheless, its writes fail like those of any leader that has lost its key.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -40,7 +40,7 @@
 	store    *statestore.Store
 	label    string
 	nonce    string
-	permit   uint64
+	permit   uint64 // ID of the lease that the leader key is bound to
 	claiming bool
 	token    uint64 // 0: not leading
 	// provenAt is when the last confirmation was sent whose answer proved that this node led
@@ -107,7 +107,7 @@
 	a.keyRecord, a.keyRevision = record{}, 0
 	if it != nil {
 		if err := wire.Decode(it.Value, &a.keyRecord); err != nil {
-			a.env.Log().Error("leader key can't be read", "err", err)
+			a.env.Log().Error("leader key can't be read, left unchanged", "err", err)
 			a.keyRecord.Node = "?"
 		}
 		a.keyRevision = it.Stamp
@@ -150,30 +150,30 @@
 	}
 	a.claiming = true
 	a.nonce = fmt.Sprintf("%s-%x", a.label, a.env.Rand().Uint64())
-	asked := a.env.Now()
+	askedAt := a.env.Now()
 	a.store.Grant(leaseTTL, func(permit uint64, ok bool) {
 		if !ok {
 			a.claiming = false
 			return
 		}
-		a.claim(permit, asked, wire.Encode(record{Node: a.label, Nonce: a.nonce, V: 1, Permit: permit}), 3)
+		a.claim(permit, askedAt, wire.Encode(record{Node: a.label, Nonce: a.nonce, V: 1, Permit: permit}), 3)
 	})
 }
 
-func (a *Actor) claim(permit uint64, asked time.Duration, value []byte, tries int) {
+func (a *Actor) claim(permit uint64, askedAt time.Duration, value []byte, tries int) {
 	t := wire.Txn{When: []wire.Cond{{Path: Key}, {Path: RestoreKey}}, Apply: []wire.Change{{Write: Key, Value: value, Permit: permit}}}
 	a.store.Commit(t, true, func(r statestore.Result, epoch uint64, _ []string) {
 		switch {
 		case r == statestore.OK:
-			a.startLeading(permit, epoch, asked)
+			a.startLeading(permit, epoch, askedAt)
 		case r == statestore.Unknown && tries > 0:
-			a.claim(permit, asked, value, tries-1)
+			a.claim(permit, askedAt, value, tries-1)
 		case r == statestore.Conflict:
 			// The key is this node's after all if an earlier copy of the claim was applied.
 			a.store.Get(Key, func(it *statestore.Item, ok bool) {
 				var rec record
 				if ok && it != nil && wire.Decode(it.Value, &rec) == nil && rec.Nonce == a.nonce {
-					a.startLeading(permit, it.Stamp, asked)
+					a.startLeading(permit, it.Stamp, askedAt)
 					return
 				}
 				a.claiming = false
@@ -186,11 +186,11 @@
 	})
 }
 
-func (a *Actor) startLeading(permit, token uint64, asked time.Duration) {
+func (a *Actor) startLeading(permit, token uint64, askedAt time.Duration) {
 	a.claiming = false
 	a.permit, a.token = permit, token
 	a.keyRecord, a.keyRevision = record{Node: a.label, Nonce: a.nonce}, token
-	a.provenAt, a.renewedAt, a.unanswered = asked, asked, 0
+	a.provenAt, a.renewedAt, a.unanswered = askedAt, askedAt, 0
 	a.store.SetLeading(true)
 	a.env.Log().Info("elected", "token", token)
 	a.renewLease(token)
@@ -203,13 +203,13 @@
 }
 
 func (a *Actor) renewLease(token uint64) {
-	permit, asked := a.permit, a.env.Now()
+	permit, askedAt := a.permit, a.env.Now()
 	a.store.Renew(permit, func(ok, gone bool) {
 		if a.permit != permit || a.token == 0 {
 			return
 		}
 		if ok {
-			a.renewedAt = asked
+			a.renewedAt = askedAt
 		}
 		if gone {
 			a.stopLeading("the lease has ended")
@@ -244,7 +244,7 @@
 		return
 	}
 	a.unanswered++
-	asked := a.env.Now()
+	askedAt := a.env.Now()
 	t := wire.Txn{When: []wire.Cond{{Path: Key, Stamp: token}}}
 	a.store.Commit(t, true, func(r statestore.Result, epoch uint64, _ []string) {
 		if a.token != token {
@@ -255,11 +255,11 @@
 		case statestore.OK:
 			a.store.WhenCaughtUp(epoch, func() {
 				if a.token == token {
-					a.provenAt = max(a.provenAt, asked)
+					a.provenAt = max(a.provenAt, askedAt)
 				}
 			})
 		case statestore.Conflict:
-			a.stopLeading("another took over")
+			a.stopLeading("another node took over")
 		}
 	})
 }
@@ -273,7 +273,7 @@
 }
 
 // Resign gives up leadership, for example when changes were missed and the leader's state has
-// to be built anew under a new token.
+// to be rebuilt under a new token.
 func (a *Actor) Resign(why string) {
 	if a.token == 0 {
 		return
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -8,9 +8,9 @@
 	"brooklb/internal/peer"
 )
 
-// newCancellationListener returns a term's listener for cancellations, or nil if some
-// controllers are not peers of this one.
-func (n *Node) newCancellationListener(token uint64) *cancellation.Tracker {
+// newCancellationTracker returns a term's tracker of cancellations, or nil if some controllers
+// are not peers of this one.
+func (n *Node) newCancellationTracker(token uint64) *cancellation.Tracker {
 	if len(n.settings.Peers)+1 < n.settings.Facts.Nodes {
 		return nil
 	}
@@ -22,13 +22,13 @@
 	if t := n.term; t != nil && t.cancellations != nil {
 		st.Question = t.cancellations.NewQuestion(n.env.Now(), n.store.Epoch())
 	}
-	st.Answer = n.teller.Respond(n.election.Token() != 0)
+	st.Answer = n.responder.Respond(n.election.Token() != 0)
 }
 
 // onPeerCancellations processes what a peer's status says about cancellations.
 func (n *Node) onPeerCancellations(s *peer.Status) {
 	if s.Leading && s.Question != nil && s.Question.Token == s.Token {
-		n.teller.HandleQuestion(*s.Question)
+		n.responder.HandleQuestion(*s.Question)
 	}
 	if n.term == nil || n.term.cancellations == nil || s.Answer == nil || s.Answer.Token != n.term.token {
 		return
@@ -36,7 +36,7 @@
 	for _, r := range s.Answer.Records {
 		id := strings.TrimPrefix(r.Key, ledger.JobPrefix)
 		if rec, err := ledger.DecodeRecord(id, r.Value); err != nil || rec.Final != ledger.Cancelled || ledger.JobKey(id) != r.Key {
-			n.env.Log().Error("bad cancellation record from a peer", "peer", s.Label, "key", r.Key, "err", err)
+			n.env.Log().Error("invalid cancellation record from a peer", "peer", s.Label, "key", r.Key, "err", err)
 			return
 		}
 		n.store.Learn(r.Key, r.Value, r.Stamp)
@@ -46,10 +46,9 @@
 	}
 }
 
-// mayAnswerWorkers reports whether workers may be answered. They may if no user was told longer
-// ago than the hold of a cancellation that this node doesn't know of. That is certain up to the
-// last proof that this node leads, or up to the time for which all other nodes have confirmed
-// it.
+// mayAnswerWorkers reports whether workers may be answered. They may if this node knows every
+// cancellation of which a user was informed longer ago than the hold. It knows all of them up to
+// the last proof that it leads, and up to the time for which all other nodes have sent theirs.
 func (t *term) mayAnswerWorkers() bool {
 	now := t.node.env.Now()
 	if now-t.node.election.Proven() <= t.node.hold {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -154,7 +154,7 @@
 		n.serveForwardedReports(r.Body, reply)
 	case r.Path == forward.OrdersPath:
 		if err := n.forwarder.HandleOrders(r.Body); err != nil {
-			n.badMessage(err, reply)
+			n.rejectMessage(err, reply)
 			return true
 		}
 		reply(httpx.Response{Status: 200, Type: forward.ContentType})
@@ -164,8 +164,8 @@
 	return true
 }
 
-func (n *Node) badMessage(err error, reply func(httpx.Response)) {
-	n.env.Log().Error("bad message from a peer", "err", err)
+func (n *Node) rejectMessage(err error, reply func(httpx.Response)) {
+	n.env.Log().Error("invalid message from a peer", "err", err)
 	reply(httpx.Response{Status: 400})
 }
 
@@ -173,7 +173,7 @@
 func (n *Node) serveForwardedReports(body []byte, reply func(httpx.Response)) {
 	batch, err := forward.DecodeBatch(body)
 	if err != nil {
-		n.badMessage(err, reply)
+		n.rejectMessage(err, reply)
 		return
 	}
 	if n.term == nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,25 +45,26 @@
 	// resumedAt is when this process last resumed after a pause. Until then, the silence of the
 	// state service was due to the pause.
 	resumedAt time.Duration
-	// yields counts how often this node has yielded leadership since it last heard most of the
-	// workers.
+	// yields counts how often this node has yielded leadership since most workers last reported
+	// to it.
 	yields int
 	// cachedOverview is the last encoded overview, from cachedOverviewAt.
 	cachedOverview   []byte
 	cachedOverviewAt time.Duration
-	// gate admits submissions. holder has this node's part of the cluster's rate of writes.
-	// marks has the last mark received from each peer, which a leader echoes. oldLeaderUntil is
-	// the time until which a leader whose program hands out no parts is assumed to lead.
-	gate           *intake.FairQueue
-	holder         *intake.Holder
-	marks          map[string]uint64
-	weight         func(team string) float64
-	floors         *placement.MinShares
-	oldLeaderUntil time.Duration
+	// submissionQueue admits submissions. allocationHolder has this node's allocation of the
+	// cluster's write rate. peerTimestamps has the last timestamp received from each peer, which
+	// a leader echoes. legacyLeaderUntil is the time until which a leader whose program makes no
+	// allocations is assumed to lead.
+	submissionQueue   *intake.FairQueue
+	allocationHolder  *intake.Holder
+	peerTimestamps    map[string]uint64
+	weight            func(team string) float64
+	minShares         *placement.MinShares
+	legacyLeaderUntil time.Duration
 	// seekingLeader has, by host, when a worker last reported here while looking for the
 	// leader.
 	seekingLeader map[string]time.Duration
-	teller        *cancellation.Responder
+	responder     *cancellation.Responder
 	// forwarder forwards reports while another node leads. reporters are the workers that
 	// report to this node. spread says whether the newest known leader has all nodes take
 	// reports; spreadToken is that leader's token.
@@ -102,27 +103,28 @@
 	// restore have been logged, and whether the end of that wait is being recorded.
 	startsLogged, workersBackLogged bool
 	restoreWaitLogged, settling     bool
-	// When placements to preempt were last searched for a waiting job: on machines that have
-	// its image, and on all machines.
-	lastClearSearch, lastPreemptSearch map[*ledger.Job]time.Duration
-	unplaced                           []*ledger.Job
-	holds                              map[*ledger.Machine]*placement.Hold
-	aims                               *placement.Objectives
-	// The leader divides the admission of submissions between the nodes. issuer hands out the
-	// parts, and issue numbers the current ones. ease is the factor, at most 1, to which
-	// admission is reduced while the leader's writes are behind. shut lists the teams and
-	// classes of which nothing is admitted.
-	issuer        *intake.Allocator
-	cancellations *cancellation.Tracker
-	issue         uint64
-	parts         map[string]uint64
-	lastDivided   time.Duration
-	ease          float64
-	shut          [][2]string
-	// floored has the jobs that were within the floor of their class and team when the floors
-	// were last evaluated.
-	floored    map[*ledger.Job]bool
-	lastFloors time.Duration
+	// These maps have the times at which placements to preempt were last searched for a waiting
+	// job, on machines that have its image and on all machines.
+	lastWarmSearch, lastPreemptSearch map[*ledger.Job]time.Duration
+	unplaced                          []*ledger.Job
+	holds                             map[*ledger.Machine]*placement.Hold
+	objectives                        *placement.Objectives
+	// The leader divides the admission of submissions between the nodes. allocations has the
+	// newest allocations by node, in thousandths per second, and allocationNumber their number.
+	// admitFraction is the factor, at most 1, to which admission is reduced while the leader's
+	// writes are behind. blockedClasses lists the teams and classes whose submissions are
+	// refused.
+	allocator        *intake.Allocator
+	cancellations    *cancellation.Tracker
+	allocationNumber uint64
+	allocations      map[string]uint64
+	lastDivided      time.Duration
+	admitFraction    float64
+	blockedClasses   [][2]string
+	// withinMinShare has the jobs that were within the minimum share of their class and team
+	// when the minimum shares were last computed.
+	withinMinShare map[*ledger.Job]bool
+	lastMinShares  time.Duration
 	// unprovenSince is since when there is no fresh proof that this node leads, 0 while there
 	// is one. unprovenReports counts the reports answered since then.
 	unprovenSince   time.Duration
@@ -150,32 +152,32 @@
 	Units    bool
 	Declared []units.Declared
 	// Sharing says how teams and classes share scarce resources. If it is nil, there are no
-	// floors, and weights follow the guarantees.
+	// minimum shares, and weights follow the guarantees.
 	Sharing *settings.Sharing
 }
 
 // New returns a node that is not yet started.
 func New(env actor.Env, set *settings.Settings, opt Options) *Node {
 	f := &set.Facts
-	n := &Node{env: env, settings: set, options: opt, seekingLeader: map[string]time.Duration{}, resumedAt: -time.Hour, notForwardedLoggedAt: -notForwardedLogEvery, marks: map[string]uint64{}}
+	n := &Node{env: env, settings: set, options: opt, seekingLeader: map[string]time.Duration{}, resumedAt: -time.Hour, notForwardedLoggedAt: -notForwardedLogEvery, peerTimestamps: map[string]uint64{}}
 	// A leader that can't reach the state service keeps renewing workers' leases for the hold.
-	// A job cancelled through another node must still be gone in time, after the hold and one
-	// more lease. The margin covers clock drift and delays.
+	// After the hold and one more lease, a job cancelled through another node must be gone
+	// within cancel_s. The margin of 4 s covers clock drift and delays.
 	n.hold = max(500*time.Millisecond, seconds(f.Workers.CancelS-f.Workers.LeaseS-4))
 	n.store = statestore.New(env, statestore.Config{Addr: set.External.State, RPS: f.State.RPS, WriteRPS: f.State.WriteRPS,
 		Nodes: f.Nodes, TxnOps: f.State.TxnOps, ValueBytes: int(f.State.ValueKB * 1024)})
 	n.store.WriteShare = n.Share
 	n.images = images.New(env, n.store)
-	n.teller = cancellation.NewResponder(n.store)
+	n.responder = cancellation.NewResponder(n.store)
 	n.admission = admission.New(env, n.store, f.Teams, f.Zones)
-	n.holder = intake.NewHolder(env.Rand().Uint64())
+	n.allocationHolder = intake.NewHolder(env.Rand().Uint64())
 	n.weight = opt.Sharing.Weight(f.Teams)
 	if opt.Sharing != nil {
-		n.floors = &placement.MinShares{Sharing: opt.Sharing, Weight: n.weight}
+		n.minShares = &placement.MinShares{Sharing: opt.Sharing, Weight: n.weight}
 	}
-	n.gate = intake.NewFairQueue(env.Rand(), n.weight)
-	n.gate.TryAcquire, n.gate.Rate = n.store.AdmitSubmission, n.store.SubmissionRate
-	n.admission.Gate = n.gate
+	n.submissionQueue = intake.NewFairQueue(env.Rand(), n.weight)
+	n.submissionQueue.TryAcquire, n.submissionQueue.Rate = n.store.AdmitSubmission, n.store.SubmissionRate
+	n.admission.Queue = n.submissionQueue
 	n.rolloutAPI = rollout.NewHandler(env, n.store, f.Teams)
 	n.rolloutAPI.Check = n.admission.Check
 	var teams []string
@@ -210,7 +212,7 @@
 	n.admission.Relay = func(r *httpx.Request, done func(httpx.Response, bool)) bool {
 		sent := n.env.Now()
 		return n.peers.Relay(r, func(resp httpx.Response, ok bool) {
-			done(resp, ok && sent >= n.resumedAt) // an answer from before a pause may be outdated
+			done(resp, ok && sent >= n.resumedAt) // the answer to a request from before a pause may be outdated
 		})
 	}
 	n.peers.OnUserRequest = func(r *httpx.Request, reply func(httpx.Response)) {
@@ -246,9 +248,9 @@
 // Leading returns the election's token and reports whether the node leads.
 func (n *Node) Leading() (uint64, bool) { return n.election.Token(), n.term != nil }
 
-// Quiet is the longest time in this node's term in which starts or ends waited to be written
-// and none was written. It is 0 if the node does not lead.
-func (n *Node) Quiet() time.Duration {
+// LongestWriteStall is the longest time in this node's term in which starts or ends waited and
+// nothing was written. It is 0 if the node does not lead.
+func (n *Node) LongestWriteStall() time.Duration {
 	if n.term == nil {
 		return 0
 	}
@@ -260,16 +262,16 @@
 	if n.term != nil {
 		st.Token = n.term.token
 	}
-	n.fillParts(&st)
+	n.fillIntake(&st)
 	n.fillCancellations(&st)
 	n.fillForwarding(&st)
 	return st
 }
 
 // onPeerLeads ends the term of this node if a peer leads with a higher token. A leader that
-// alone can't reach the state service learns only this way that another node leads. Otherwise
-// it would answer the workers until its hold is over, and the new leader would hear no workers
-// and yield.
+// alone can't reach the state service learns this way that another node leads. Otherwise it
+// would answer the workers until its hold is over, and the new leader would get no reports and
+// yield.
 func (n *Node) onPeerLeads(token uint64) {
 	if t := n.term; t != nil && token > t.token {
 		n.election.Deposed(t.token - t.base.Token)
@@ -280,7 +282,8 @@
 	// A node that can't reach the state service, although a peer can, reports itself unhealthy
 	// after this time, so that its users go to other nodes.
 	stateCutAfter = 3 * time.Second
-	// A node that hears neither the state service nor any peer does so after this time.
+	// A node that receives nothing from either the state service or its peers reports itself
+	// unhealthy after this time.
 	isolatedAfter = 15 * time.Second
 )
 
@@ -370,9 +373,9 @@
 func (n *Node) beginTerm(token uint64) {
 	f := &n.settings.Facts
 	base, _ := leader.ReadBase(n.store) // a node that can't read it does not stand for election
-	t := &term{node: n, token: token + base.Token, base: base, lastClearSearch: map[*ledger.Job]time.Duration{}, lastPreemptSearch: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastConsolidation: -consolidateEvery, aims: placement.NewObjectives(f.Objectives)}
-	t.issuer, t.ease = intake.NewAllocator(n.env.Now(), n.peerLabels(), n.store.FollowerWriteRate()), 1
-	t.cancellations = n.newCancellationListener(t.token)
+	t := &term{node: n, token: token + base.Token, base: base, lastWarmSearch: map[*ledger.Job]time.Duration{}, lastPreemptSearch: map[*ledger.Job]time.Duration{}, holds: map[*ledger.Machine]*placement.Hold{}, lastConsolidation: -consolidateEvery, objectives: placement.NewObjectives(f.Objectives)}
+	t.allocator, t.admitFraction = intake.NewAllocator(n.env.Now(), n.peerLabels(), n.store.FollowerWriteRate()), 1
+	t.cancellations = n.newCancellationTracker(t.token)
 	t.ledger = ledger.New(n.env, n.store, token, f.Teams)
 	t.ledger.AttemptOffset = base.Attempts
 	t.fleet = fleet.New(n.env, t.ledger, n.store, token, fleet.Config{RentalID: t.token, CloudAddr: n.settings.External.Cloud, RPS: f.Cloud.RPS, CPUShare: f.Limits.CPUShare,
@@ -472,7 +475,7 @@
 	}
 	t.logProof()
 	t.node.store.NoBacklog = t.ledger.WriteBacklogS(model.Low) <= 0
-	t.divide()
+	t.divideAdmission()
 	t.decideSpread()
 	t.countUnits()
 	t.ledger.FlushPending()
@@ -501,8 +504,10 @@
 	c := &t.ledger.Changes
 	t.node.env.Log().Info("written in this term", "for_s", roundToTenth((now - t.workers.Began()).Seconds()), "starts", c.Starts, "tasks", c.Tasks, "ends", c.Ends,
 		"marks", c.Marks, "drops", c.Drops)
-	t.node.env.Log().Info("door", "ease", roundToTenth(t.ease), "behind_s", roundToTenth(t.ledger.WriteBacklogS(model.Low)), "others_hold", roundToTenth(t.issuer.HeldByOthers(now)), "wanted", roundToTenth(t.node.gate.ArrivalRate(now)),
-		"admitted", roundToTenth(t.node.gate.AdmissionRate(now)), "refused", t.node.gate.Refused, "shut", len(t.shut), "longest_quiet_s", roundToTenth(t.ledger.LongestWriteStall.Seconds()), "floored", len(t.floored))
+	// In the log, "door" is the admission of submissions, "shut" the number of blocked classes
+	// and "floored" the number of jobs within a minimum share.
+	t.node.env.Log().Info("door", "ease", roundToTenth(t.admitFraction), "behind_s", roundToTenth(t.ledger.WriteBacklogS(model.Low)), "others_hold", roundToTenth(t.allocator.HeldByOthers(now)), "wanted", roundToTenth(t.node.submissionQueue.ArrivalRate(now)),
+		"admitted", roundToTenth(t.node.submissionQueue.AdmissionRate(now)), "refused", t.node.submissionQueue.Refused, "shut", len(t.blockedClasses), "longest_quiet_s", roundToTenth(t.ledger.LongestWriteStall.Seconds()), "floored", len(t.withinMinShare))
 	if teams := t.teamUsage(); teams != "" {
 		t.node.env.Log().Info("teams", "use", teams)
 	}
--- a/internal/node/overview.go
+++ b/internal/node/overview.go
@@ -24,13 +24,13 @@
 	if n.store.Synced() {
 		o.StateSilentS = roundToTenth((now - n.store.LastContact()).Seconds())
 	}
-	o.Admission = &wire.AdmissionView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.gate.ArrivalRate(now)), Admitted: roundToTenth(n.gate.AdmissionRate(now)), Waiting: n.gate.Waiting(), Refused: n.gate.Refused}
+	o.Admission = &wire.AdmissionView{Changes: roundToTenth(n.Share()), Wanted: roundToTenth(n.submissionQueue.ArrivalRate(now)), Admitted: roundToTenth(n.submissionQueue.AdmissionRate(now)), Waiting: n.submissionQueue.Waiting(), Refused: n.submissionQueue.Refused}
 	t := n.term
 	if t == nil {
 		return o
 	}
-	o.Admission.AdmitFraction, o.Admission.WriteBacklogS = roundToTenth(t.ease), roundToTenth(t.ledger.WriteBacklogS(model.Low))
-	for _, k := range t.shut {
+	o.Admission.AdmitFraction, o.Admission.WriteBacklogS = roundToTenth(t.admitFraction), roundToTenth(t.ledger.WriteBacklogS(model.Low))
+	for _, k := range t.blockedClasses {
 		o.Admission.ClosedClasses = append(o.Admission.ClosedClasses, k[1]+" of "+k[0])
 	}
 	o.Classes = t.classes()
@@ -75,7 +75,7 @@
 		c.Jobs++
 		c.Waiting += j.Idle()
 		c.Placed += j.Placed
-		if t.floored[j] {
+		if t.withinMinShare[j] {
 			c.Floor++
 		}
 	}
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -40,8 +40,8 @@
 }
 
 const (
-	floorsEvery = time.Second
-	rentEvery   = time.Second
+	minSharesEvery = time.Second
+	rentEvery      = time.Second
 	// Placements to preempt for a waiting job are searched at most this often.
 	searchEvery = 500 * time.Millisecond
 )
@@ -56,21 +56,21 @@
 	if !t.settled() {
 		return
 	}
-	if t.ledger.WriteBacklogS(model.High) > maxBehindS {
+	if t.ledger.WriteBacklogS(model.High) > maxWriteBacklogS {
 		return // new placements could not become durable soon
 	}
 	// Urgent starts are written first, so only starts that would queue behind all others are
 	// left out.
-	urgentOnly := t.ledger.WriteBacklogS(model.Low) > maxBehindS
-	v := &placement.View{Now: now, SilentAfter: 3 * seconds(t.node.settings.Facts.Workers.ReportS), ReportInterval: seconds(t.node.settings.Facts.Workers.ReportS), Holds: t.holds, Objectives: t.aims}
+	urgentOnly := t.ledger.WriteBacklogS(model.Low) > maxWriteBacklogS
+	v := &placement.View{Now: now, SilentAfter: 3 * seconds(t.node.settings.Facts.Workers.ReportS), ReportInterval: seconds(t.node.settings.Facts.Workers.ReportS), Holds: t.holds, Objectives: t.objectives}
 	v.Machines = placement.Candidates(t.ledger, v)
-	if t.floored == nil || now-t.lastFloors >= floorsEvery {
-		t.lastFloors = now // not in each pass, since it reads all jobs
-		t.floored = t.node.floors.JobsWithin(t.ledger, t.aims, v.TotalCapacity(), now)
+	if t.withinMinShare == nil || now-t.lastMinShares >= minSharesEvery {
+		t.lastMinShares = now // not in each pass, since it reads all jobs
+		t.withinMinShare = t.node.minShares.JobsWithin(t.ledger, t.objectives, v.TotalCapacity(), now)
 	}
-	claims := placement.NewClaims(t.ledger, t.aims, t.floored, now)
+	claims := placement.NewClaims(t.ledger, t.objectives, t.withinMinShare, now)
 	for _, j := range t.ledger.Order() {
-		t.fleet.RecordArrival(j, t.aims.HasWaitObjective(j), claims[j] == placement.Entitled)
+		t.fleet.RecordArrival(j, t.objectives.HasWaitObjective(j), claims[j] == placement.Entitled)
 	}
 	placement.ReleaseHolds(v)
 	order := placement.Order(t.ledger, v, claims)
@@ -79,15 +79,15 @@
 	}
 	t.queues.Refresh(t.ledger, order, now)
 	v.Units = t.queues
-	stops := placement.NewPreemptor(t.ledger, v, claims)
+	preemptor := placement.NewPreemptor(t.ledger, v, claims)
 	for _, j := range order {
-		if t.aims.HasWaitObjective(j) && j.Spec.Kind == model.Gang && !j.Faulty() && t.maySearchFor(j, t.lastClearSearch) {
-			t.preemptFor(j, stops.PreemptWarm(j))
+		if t.objectives.HasWaitObjective(j) && j.Spec.Kind == model.Gang && !j.Faulty() && t.maySearchFor(j, t.lastWarmSearch) {
+			t.preemptFor(j, preemptor.PreemptWarm(j))
 		}
 	}
 	t.unplaced = placement.Run(t.ledger, v, order, func(j *ledger.Job) {
-		if (t.aims.HasWaitObjective(j) || claims[j].Guaranteed()) && t.maySearchFor(j, t.lastPreemptSearch) {
-			t.preemptFor(j, stops.Preempt(j, false))
+		if (t.objectives.HasWaitObjective(j) || claims[j].Guaranteed()) && t.maySearchFor(j, t.lastPreemptSearch) {
+			t.preemptFor(j, preemptor.Preempt(j, false))
 		}
 	})
 	if urgentOnly {
@@ -96,8 +96,8 @@
 	t.consolidate(v)
 	if now-t.lastRent >= rentEvery {
 		t.lastRent = now
-		t.fleet.Rent(t.unplaced, v, t.aims, claims)
-		for _, lastSearch := range []map[*ledger.Job]time.Duration{t.lastClearSearch, t.lastPreemptSearch} {
+		t.fleet.Rent(t.unplaced, v, t.objectives, claims)
+		for _, lastSearch := range []map[*ledger.Job]time.Duration{t.lastWarmSearch, t.lastPreemptSearch} {
 			for j := range lastSearch {
 				if !placement.Waiting(j) {
 					delete(lastSearch, j)
@@ -131,21 +131,21 @@
 	for _, p := range stop {
 		t.node.env.Log().Info("preempting", "job", p.Job.Spec.ID, "task", p.Task, "machine", p.Host.Name, "for", j.Spec.ID)
 		t.workers.Evict(p, "made room for "+j.Spec.ID)
-		t.delayOusted(p)
+		t.delayPreempted(p)
 	}
 }
 
 const (
-	// A task that was preempted twice in a row before it ran waits for oustedDelay until it is
-	// placed again. The wait doubles with each further time, up to maxOustedDelay.
-	oustedDelay, maxOustedDelay = 5 * time.Second, 80 * time.Second
+	// A task that was preempted twice in a row before it ran waits for preemptedDelay until it
+	// is placed again. The wait doubles with each further time, up to maxPreemptedDelay.
+	preemptedDelay, maxPreemptedDelay = 5 * time.Second, 80 * time.Second
 )
 
-// delayOusted delays the next placement of a task that is preempted repeatedly before it runs.
-// Under a flood of jobs, one small job was started and stopped forty times, and two stops in
-// three hit tasks that had saved nothing. If this happens to all waiting tasks, room stays free
-// for the next urgent jobs.
-func (t *term) delayOusted(p *ledger.Placement) {
+// delayPreempted delays the next placement of a task that is preempted repeatedly before it
+// runs. Under overload, one small job was started and stopped forty times, and two stops in
+// three hit tasks that had saved nothing. If this happens to all waiting tasks, capacity stays
+// free for the next urgent jobs.
+func (t *term) delayPreempted(p *ledger.Placement) {
 	task := &p.Job.Tasks[p.Task]
 	if p.Job.Spec.Kind != model.Array {
 		return
@@ -156,20 +156,21 @@
 	}
 	task.Preemptions++
 	if n := task.Preemptions - 2; n >= 0 {
-		task.NotBefore = max(task.NotBefore, t.node.env.Now()+min(maxOustedDelay, oustedDelay<<min(n, 8)))
+		task.NotBefore = max(task.NotBefore, t.node.env.Now()+min(maxPreemptedDelay, preemptedDelay<<min(n, 8)))
 	}
 }
 
 const (
 	// consolidateEvery is the period of consolidation.
 	consolidateEvery = 30 * time.Second
-	// Room that was emptied for a job, and room at the targets of moves, is held for this time.
+	// Capacity that was freed for a job, and capacity at the targets of moves, is held for this
+	// time.
 	holdFor = 30 * time.Second
 )
 
-// consolidate empties a machine for a waiting job when there is enough free room, but not on
-// one machine. All moves from the machine start together, and the room that they free is held
-// for the job, since a burst of other jobs would fill it otherwise.
+// consolidate empties a machine for a waiting job when there is enough free capacity, but not on
+// one machine. All moves from the machine start together, and the capacity that they free is
+// held for the job, since a burst of other jobs would take it otherwise.
 func (t *term) consolidate(v *placement.View) {
 	if v.Now-t.lastConsolidation < consolidateEvery || v.Now-t.lastConsolidationCheck < searchEvery || len(t.unplaced) == 0 {
 		return
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -7,9 +7,9 @@
 	"brooklb/internal/wire"
 )
 
-// seekingWindow is how long a worker that reported to this node in vain counts as looking for
-// the leader. In that time it reports to the leader that it was told of, gives up after 4 s,
-// and comes to another node a second later.
+// seekingWindow is how long a worker counts as looking for the leader after its report here has
+// not reached the leader. In that time it reports to the leader that the answer names, gives up
+// after 4 s, and reports to another node a second later.
 const seekingWindow = 8 * time.Second
 
 // noteSeekingWorker records a worker that reported here while looking for the leader. It
@@ -72,8 +72,8 @@
 		return
 	}
 	if !t.mayAnswerWorkers() {
-		// Another node may lead by now, and a job may have been cancelled that this node
-		// doesn't know of: the workers' leases must be allowed to expire.
+		// Another node may lead by now, and a user may have cancelled a job without this
+		// node's knowledge: the workers' leases must be allowed to expire.
 		if t.refusingSince == 0 {
 			t.refusingSince = n.env.Now()
 		}
@@ -85,7 +85,7 @@
 	}
 	rep, err := wire.DecodeReport(body)
 	if err != nil {
-		n.env.Log().Error("bad report", "err", err)
+		n.env.Log().Error("invalid report from a worker", "err", err)
 		reply(httpx.Response{Status: 400, Body: wire.Error(err.Error())})
 		return
 	}
@@ -102,11 +102,11 @@
 // allows it.
 func (t *term) logProof() {
 	now := t.node.env.Now()
-	switch sure := t.node.election.HasProof(); {
-	case !sure && t.unprovenSince == 0:
+	switch proven := t.node.election.HasProof(); {
+	case !proven && t.unprovenSince == 0:
 		t.unprovenSince = now
 		t.node.env.Log().Info("no fresh proof of leading, nothing is started", "token", t.token, "hold_s", roundToTenth(t.node.hold.Seconds()))
-	case sure && t.unprovenSince > 0:
+	case proven && t.unprovenSince > 0:
 		t.node.env.Log().Info("leading is proven again", "token", t.token, "after_s", roundToTenth((now - t.unprovenSince).Seconds()), "reports_answered", t.unprovenReports)
 		t.unprovenSince, t.unprovenReports = 0, 0
 	}
@@ -118,16 +118,15 @@
 	if t.workersBackLogged {
 		return
 	}
-	all, heard := t.workersHeard(time.Hour)
-	if all > 0 && 10*heard >= 9*all {
+	all, reported := t.workersReporting(time.Hour)
+	if all > 0 && 10*reported >= 9*all {
 		t.workersBackLogged = true
 		t.node.env.Log().Info("most workers have reported to this node", "after_s", roundToTenth((t.node.env.Now() - t.workers.Began()).Seconds()), "workers", all)
 	}
 }
 
-// workersHeard counts the machines that should report, and those that did within
-// the span.
-func (t *term) workersHeard(span time.Duration) (all, heard int) {
+// workersReporting counts the machines that should report, and those that did within the span.
+func (t *term) workersReporting(span time.Duration) (all, reported int) {
 	now := t.node.env.Now()
 	for _, m := range t.ledger.MachinesByName() {
 		if m.Leaving || (!m.Reported && len(m.Placements) == 0 && m.ListedState != "running") {
@@ -135,15 +134,15 @@
 		}
 		all++
 		if m.Reported && now-m.LastReport < span {
-			heard++
+			reported++
 		}
 	}
-	return all, heard
+	return all, reported
 }
 
 const (
-	// A leader that most workers don't reach leaves leading to other nodes for yieldFor,
-	// doubled for each yield in a row, the first one included.
+	// A leader that most workers don't reach yields to other nodes for yieldFor, doubled for
+	// each yield in a row, the first one included.
 	yieldFor = 8 * time.Second
 	// Nothing is concluded from fewer workers than this.
 	minWorkersToJudge = 3
@@ -151,14 +150,14 @@
 
 // workersUnreachable reports whether most workers don't reach this node, although it reaches
 // the state service. A network partition between it and the workers does that. Their leases
-// would expire with all their tasks, while another node may still hear them.
+// would expire with all their tasks, while another node may still get their reports.
 //
 // The peers report how many workers come to them looking for the leader. If none do, the
 // workers are dead, hanging or cut off themselves, and yielding does not help: two leaders in
 // turn yielded because of machines that had lost their network, and each takeover cost seconds.
-// Without such workers at the peers, the leader yields only if a peer is not heard either. Each
-// yield in vain makes the next term last longer, since some leader has to lead long enough to
-// prove that silent workers' tasks are gone.
+// Without such workers at the peers, the leader yields only if some peer is silent, too. Each
+// yield that doesn't help makes the next term last longer, since some leader has to lead long
+// enough to prove that silent workers' tasks are gone.
 func (t *term) workersUnreachable() bool {
 	n := t.node
 	if !n.election.HasProof() {
@@ -174,18 +173,18 @@
 	if leadingFor < 8*time.Second+reportEvery {
 		return false
 	}
-	all, heardRecently := t.workersHeard(3*reportEvery/2 + time.Second)
-	_, heard := t.workersHeard(5 * reportEvery / 2)
-	if all >= minWorkersToJudge && heard*5 >= all*3 {
+	all, reportedRecently := t.workersReporting(3*reportEvery/2 + time.Second)
+	_, reported := t.workersReporting(5 * reportEvery / 2)
+	if all >= minWorkersToJudge && reported*5 >= all*3 {
 		n.yields = 0
 	}
-	if all < minWorkersToJudge || heardRecently*5 >= all*2 {
+	if all < minWorkersToJudge || reportedRecently*5 >= all*2 {
 		return false
 	}
-	seekingAtPeers, allPeersHeard := n.peers.SeekingWorkers()
-	if seekingAtPeers >= minWorkersToJudge && 2*seekingAtPeers >= all-heardRecently ||
-		!allPeersHeard && heard*5 < all*2 && leadingFor >= (8*time.Second+reportEvery)<<min(n.yields, 5) {
-		n.env.Log().Info("most workers don't reach this node", "workers", all, "heard", heardRecently, "at_others", seekingAtPeers, "all_peers_heard", allPeersHeard)
+	seekingAtPeers, allPeersRecent := n.peers.SeekingWorkers()
+	if seekingAtPeers >= minWorkersToJudge && 2*seekingAtPeers >= all-reportedRecently ||
+		!allPeersRecent && reported*5 < all*2 && leadingFor >= (8*time.Second+reportEvery)<<min(n.yields, 5) {
+		n.env.Log().Info("most workers don't reach this node", "workers", all, "heard", reportedRecently, "at_others", seekingAtPeers, "all_peers_heard", allPeersRecent)
 		return true
 	}
 	return false
--- a/internal/node/restored.go
+++ b/internal/node/restored.go
@@ -11,7 +11,7 @@
 // settled reports whether tasks may be started. After a restore, tasks may run that were
 // started after the snapshot was taken and that are missing in the records. The first leader
 // answers workers and stops tasks that are not recorded. It starts nothing until the leases of
-// all workers that it has not heard have certainly expired.
+// all workers that have not reported to it have certainly expired.
 func (t *term) settled() bool {
 	if t.base.Settled {
 		return true
--- a/internal/sim/flood_test.go
+++ b/internal/sim/flood_test.go
@@ -107,7 +107,7 @@
 				w.Run(w.now + 50*time.Millisecond)
 				mostHeld = max(mostHeld, w.Shares())
 				if l := w.Leader(); l >= 0 {
-					quiet = max(quiet, w.nodes[l].node.Quiet())
+					quiet = max(quiet, w.nodes[l].node.LongestWriteStall())
 				}
 			}
 			if mostHeld > limit+1e-6 {
