--- a/internal/consolidate/consolidate.go
+++ b/internal/consolidate/consolidate.go
@@ -92,7 +92,7 @@
 	emptying       int                       // the machine to be emptied, which can't be a target
 	moves          []plannedMove
 	taken          map[*ledger.Placement]bool // tasks that are moved or in the current chain
-	steps          int                        // of Config.MaxSteps
+	steps          int                        // remaining steps of Config.MaxSteps
 }
 
 type plannedMove struct {
@@ -195,10 +195,10 @@
 	}
 }
 
-// Movable reports whether a task may be moved. It may not if it is not running or is being
-// stopped, if its placement is not durable, if a roll-out or a port binds it to its machine,
-// if its job has ended, is a gang or has a locked priority, or if it is an array task that has run
-// for too long or can't save its progress.
+// Movable reports whether a task may be moved. The task must be running and not being stopped,
+// its placement must be durable, and no roll-out or port may bind it to its machine. Its job
+// must not have ended, be a gang or have a locked priority. A task of an array must also be able
+// to save its progress and not have run for too long.
 func Movable(p *ledger.Placement, now time.Duration, cfg Config) bool {
 	s := p.Job.Spec
 	switch {
@@ -298,7 +298,7 @@
 	if !j.Spec.OneZone && !j.Spec.Spread {
 		return true
 	}
-	in := 0
+	inZone := 0
 	for k := range j.Tasks {
 		q := j.Tasks[k].CurrentPlacement
 		if q == nil || q == p {
@@ -313,10 +313,10 @@
 		}
 		// A moved task also counts in its old zone until it is gone from there.
 		if zone == m.Zone || q.Host.Zone == m.Zone {
-			in++
+			inZone++
 		}
 	}
-	return !j.Spec.Spread || in < j.Spec.MaxPerZone()
+	return !j.Spec.Spread || inZone < j.Spec.MaxPerZone()
 }
 
 func (s *search) move(p *ledger.Placement, from, to int) {
--- a/internal/estimates/estimates.go
+++ b/internal/estimates/estimates.go
@@ -25,7 +25,7 @@
 	// time; without them, 8 did (sim.TestWrongEstimates).
 	maxFactor = 2.5
 	// Smaller factors are within the usual error of estimates. Corrections by ten or
-	// twenty percent only made plans change often (docs/rounds.md).
+	// twenty percent only made plans change often.
 	minFactor = 1.25
 	// Users choose the names of classes. Classes beyond this number share the entry
 	// sharedClass.
@@ -44,15 +44,15 @@
 type Classes map[string]*Class
 
 // Class returns the entry of a class and creates it if necessary.
-func (b Classes) Class(name string) *Class {
-	c := b[name]
-	if c == nil && len(b) >= maxClasses {
+func (cs Classes) Class(name string) *Class {
+	c := cs[name]
+	if c == nil && len(cs) >= maxClasses {
 		name = sharedClass
-		c = b[name]
+		c = cs[name]
 	}
 	if c == nil {
 		c = &Class{factor: 1}
-		b[name] = c
+		cs[name] = c
 	}
 	return c
 }
--- a/internal/estimates/estimates_test.go
+++ b/internal/estimates/estimates_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// BenchmarkRan measures the cost of recording the end of a task.
-func BenchmarkRan(b *testing.B) {
+// BenchmarkRecordRun measures the cost of recording the end of a task.
+func BenchmarkRecordRun(b *testing.B) {
 	c := Classes{}.Class("x")
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/fair/fair.go
+++ b/internal/fair/fair.go
@@ -21,7 +21,7 @@
 }
 
 // Divide gives the shares what they demand or, if the total doesn't suffice, what their
-// weights allow them. It returns the part of the total that nobody demanded.
+// weights allow them. It returns the part of the total that no share demands.
 func Divide(total float64, shares []*Share) float64 {
 	weight := func(s *Share) float64 {
 		if s.Weight <= 0 {
--- a/internal/fair/fair_test.go
+++ b/internal/fair/fair_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestByTeam checks the division: nobody gets more than it demands, the parts and the rest
+// TestByTeam checks the division: no share gets more than it demands, the parts and the rest
 // add up to the total, nothing is left while a demand is unmet, no share gets less by
 // weight than another of its team while its demand is unmet, and a team that invents
 // classes gains nothing.
--- a/internal/ledger/fault.go
+++ b/internal/ledger/fault.go
@@ -66,7 +66,7 @@
 	if p.RunSince > 0 {
 		f.longestRun = max(f.longestRun, l.env.Now()-p.RunSince)
 	}
-	was := j.Faulty()
+	wasFaulty := j.Faulty()
 	if f.machines == nil {
 		f.machines = map[*Machine]bool{}
 	}
@@ -83,11 +83,11 @@
 		return
 	}
 	now := l.env.Now()
-	if !was || now >= f.nextTrial {
+	if !wasFaulty || now >= f.nextTrial {
 		f.nextTrial = now + min(maxTrialPause, minTrialPause<<min(f.pauses, 10))
 		f.pauses++
 	}
-	if !was {
+	if !wasFaulty {
 		l.env.Log().Info("job fails on several machines, retrying it with growing pauses", "job", j.Spec.ID, "class", j.Spec.Class,
 			"team", j.Spec.Team, "failures", f.total, "machines", len(f.machines))
 	}
@@ -114,8 +114,8 @@
 	j.failures = failures{total: j.failures.total}
 }
 
-// FaultReason tells a user why a job at fault is retried with long pauses. It returns "" for
-// other jobs.
+// FaultReason returns the reason, for users, why a job at fault is retried with long pauses. It
+// returns "" for other jobs.
 func (j *Job) FaultReason() string {
 	if !j.Faulty() {
 		return ""
--- a/internal/ledger/gang.go
+++ b/internal/ledger/gang.go
@@ -21,9 +21,9 @@
 
 // gangStillWaiting reports whether another machine with a task of the gang has reported later
 // than the lost task's machine. If the gang had begun to run, that report would show it. When
-// all machines are lost together no report shows whether the gang ran, and a new leader doesn't
-// know. Such an attempt was once started again under the same number although it had run, and
-// its tasks waited for one another in vain until they had been started twelve times.
+// all machines are lost together, no report shows whether the gang ran, and a new leader doesn't
+// know either. If an attempt that had run was started again under the same number, its tasks
+// timed out waiting for one another until they had been started twelve times.
 func gangStillWaiting(p *Placement) bool {
 	for i := range p.Job.Tasks {
 		if q := p.Job.Tasks[i].CurrentPlacement; q != nil && q != p && q.Host != p.Host && q.SeenInReport && q.Host.LastReport > p.Host.LastReport {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -43,7 +43,7 @@
 	closed                       bool
 	loading                      bool
 	flushTimer                   *actor.Timer
-	// Hooks of the term.
+	// Callbacks of the term; each may be nil.
 	OnDurable func(p []*Placement)
 	OnChange  func()
 	OnStop    func(p *Placement)
@@ -141,9 +141,9 @@
 	}
 }
 
-// LearnRunTime takes the run time of a completed task into the estimates of its class, once
-// per gang, and for arrays into the pace of its machine. Only first attempts count. The run
-// time of an inherited task is unknown.
+// LearnRunTime adds the run time of a completed task to the estimates of its class, once per
+// gang, and for arrays to the pace of its machine. Only first attempts count. The run time of an
+// inherited task is unknown.
 func (l *Ledger) LearnRunTime(p *Placement) {
 	j := p.Job
 	if p.Attempt != 1 || p.Inherited || p.RunSince <= 0 || j.class == nil {
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -41,7 +41,7 @@
 	}
 	r, err := DecodeRecord(id, it.Value)
 	if err != nil {
-		l.env.Log().Error("job record can't be read, leaving it unchanged", "key", key, "err", err)
+		l.env.Log().Error("job record can't be read, left unchanged", "key", key, "err", err)
 		return
 	}
 	if j == nil {
@@ -113,7 +113,7 @@
 	}
 	st, why, err := decodeChunk(key, it.Value)
 	if err != nil {
-		l.env.Log().Error("chunk can't be read, its job will not be scheduled", "key", key, "err", err)
+		l.env.Log().Error("chunk can't be read, left unchanged; its job is not scheduled", "key", key, "err", err)
 		j.WaitReason = "its record can't be read"
 		j.unreadable = true
 		return
--- a/internal/ledger/machine.go
+++ b/internal/ledger/machine.go
@@ -95,7 +95,7 @@
 	LastAnswered           time.Duration // last report that was answered with the leader's token
 	TokenSeen              bool          // the worker has seen the leader's token
 	TokenSeenAt            time.Duration // when TokenSeen was set
-	SessionSeenAt          time.Duration // when the leader first heard of this session
+	SessionSeenAt          time.Duration // when the leader received the first report of this session
 	// HasFreshReport says that a report was received that the worker certainly sent in this
 	// term. Reports before that may be old duplicates.
 	HasFreshReport     bool
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -16,7 +16,7 @@
 	Host              *Machine
 	Durable           bool
 	Inherited         bool   // recorded by an earlier leader
-	Session           uint64 // the worker's session in which it was told to start the task
+	Session           uint64 // the worker's session in which the start was sent or the task was last reported
 	SeenInReport      bool
 	Phase             model.Phase
 	PlacedAt          time.Duration // when the task was placed, or the placement was loaded
@@ -32,7 +32,7 @@
 	// StartDeadline is the time after which a start that is still under way must no longer be
 	// executed, because the job was cancelled; 0: not cancelled.
 	StartDeadline  time.Duration
-	RestartPending bool // the task has waited in vain for its gang, and is to be started again in the same attempt
+	RestartPending bool // the task timed out waiting for its gang, and is to be started again in the same attempt
 	Retries        int  // how often that happened
 	Gone           bool
 }
--- a/internal/ledger/ran_test.go
+++ b/internal/ledger/ran_test.go
@@ -9,10 +9,10 @@
 	"brooklb/internal/statestore"
 )
 
-// TestRanLearnsFromOwnTasksOnly guards against too short run times after a change of leader: the
-// start of an inherited task is unknown, and was taken to be when the new leader first heard of
-// the task.
-func TestRanLearnsFromOwnTasksOnly(t *testing.T) {
+// TestLearnRunTimeOfOwnTasksOnly guards against too short run times after a change of leader. The
+// new leader doesn't know when an inherited task started, and took the time of its first report of
+// the task for the start.
+func TestLearnRunTimeOfOwnTasksOnly(t *testing.T) {
 	e, l := newTestLedger(t, map[string]string{JobKey("j-1"): record("j-1", 200, 50, Open)})
 	j := l.Jobs["j-1"]
 	j.Spec.EstimateS = 10
--- a/internal/ledger/units.go
+++ b/internal/ledger/units.go
@@ -8,7 +8,7 @@
 )
 
 // unitRequest is a job's request for n units of a counted resource, given by its index in the
-// term's units.Book.
+// term's units.Inventory.
 type unitRequest struct {
 	resource, n int
 	perJob      bool
@@ -121,8 +121,8 @@
 	}
 }
 
-// AllotUnits returns for how many of n tasks units would be free if the units in use were taken,
-// and adds the units of these tasks to use. Machines are wanted only for these tasks: a machine
+// AllotUnits returns for how many of n tasks units are free besides those already counted in the
+// map use, and adds the units of these tasks to the map. Only these tasks need a machine: a machine
 // for a task that waits for units would stand idle.
 func (l *Ledger) AllotUnits(j *Job, n int, use map[*units.Resource]int) int {
 	wanted := n
--- a/internal/ledger/write.go
+++ b/internal/ledger/write.go
@@ -101,24 +101,24 @@
 // Changes counts the changes that the term has written to the state service, by their
 // purpose. Each field except Tasks counts changes, which the service limits per second.
 type Changes struct {
-	Starts int // chunks with placements to start
-	Tasks  int // placements in those chunks
-	Ends   int // final records of completed jobs
-	Marks  int // chunks that record only done or idle tasks
-	Drops  int // deletions of chunks
+	Starts       int // chunks with placements to start
+	Tasks        int // placements in those chunks
+	Ends         int // final records of completed jobs
+	StateUpdates int // chunks that record only done or idle tasks
+	Deletions    int // deletions of chunks
 }
 
-func (c *Changes) count(f *pendingChange) {
+func (c *Changes) count(change *pendingChange) {
 	switch {
-	case f.job == nil || f.deletion:
-		c.Drops++
-	case f.chunk < 0:
+	case change.job == nil || change.deletion:
+		c.Deletions++
+	case change.chunk < 0:
 		c.Ends++
-	case len(f.placed) > 0:
+	case len(change.placed) > 0:
 		c.Starts++
-		c.Tasks += len(f.placed)
+		c.Tasks += len(change.placed)
 	default:
-		c.Marks++
+		c.StateUpdates++
 	}
 }
 
@@ -127,9 +127,9 @@
 	// same job share a change.
 	startGatherTime = 400 * time.Millisecond
 	// Chunks without starts only save repeated work after a failure. They are delayed for
-	// markGatherTime. After maxMarkDelay they no longer wait for spare budget.
-	markGatherTime = 5 * time.Second
-	maxMarkDelay   = 15 * time.Second
+	// stateUpdateGatherTime. After maxStateUpdateDelay they no longer wait for spare budget.
+	stateUpdateGatherTime = 5 * time.Second
+	maxStateUpdateDelay   = 15 * time.Second
 	// reservedBurstShare is the share of the write burst that deferrable changes leave for
 	// starts and ends. reservedUserWrites is the number of changes left for requests of
 	// users at this node.
@@ -140,9 +140,9 @@
 )
 
 // rank returns the position of a chunk in the order of writing; lower ranks go first. The
-// order is: starts by descending priority, chunks that have waited for maxMarkDelay, deletions
-// of chunks of jobs that are over, other chunks. ok is false while the chunk should wait for
-// further changes.
+// order is: starts by descending priority, chunks that have waited for maxStateUpdateDelay,
+// deletions of chunks of jobs that are over, other chunks. ok is false while the chunk should
+// wait for further changes.
 func (l *Ledger) rank(d dirtyChunk, now time.Duration) (rank int, ok bool) {
 	c := &d.job.chunks[d.chunk]
 	age := now - c.dirtySince
@@ -152,10 +152,10 @@
 		return deferrableRank, true
 	case c.urgent:
 		return int(model.Production - prio), prio >= model.High || age >= startGatherTime
-	case age > maxMarkDelay:
+	case age > maxStateUpdateDelay:
 		return int(model.Production) + 1, true
 	}
-	return deferrableRank + 1, age >= markGatherTime
+	return deferrableRank + 1, age >= stateUpdateGatherTime
 }
 
 // WriteBacklogS returns how many seconds the state service's write rate needs for the waiting
@@ -257,7 +257,7 @@
 			continue
 		}
 		key := ChunkKey(j.Spec.ID, d.chunk)
-		f := &pendingChange{job: j, chunk: d.chunk, key: key}
+		change := &pendingChange{job: j, chunk: d.chunk, key: key}
 		if j.Final != Open && j.Placed > 0 {
 			// The chunks are deleted once the last task is gone. Until then they may
 			// list placements that no longer exist.
@@ -270,7 +270,7 @@
 				continue
 			}
 			t.Apply = append(t.Apply, wire.Change{Delete: key})
-			f.deletion = true
+			change.deletion = true
 		} else {
 			v := l.encodeChunk(j, d.chunk)
 			if limit := l.store.Config().ValueBytes; limit > 0 && len(v) > limit {
@@ -280,14 +280,14 @@
 			t.Apply = append(t.Apply, wire.Change{Write: key, Value: v})
 			for i := d.chunk * j.tasksPerChunk; i < min(len(j.Tasks), (d.chunk+1)*j.tasksPerChunk); i++ {
 				if p := j.Tasks[i].CurrentPlacement; p != nil && !p.Durable {
-					f.placed = append(f.placed, p)
+					change.placed = append(change.placed, p)
 				}
 			}
 		}
 		requireJob(j)
 		t.When = append(t.When, wire.Cond{Path: key, Stamp: c.stamp})
 		c.dirty, c.urgent, c.inFlight = false, false, true
-		pending = append(pending, f)
+		pending = append(pending, change)
 	}
 	l.dirty = deferred
 	for len(l.orphans) > 0 && len(t.Apply) < min(maxChanges, spare) && !full() {
@@ -326,39 +326,39 @@
 }
 
 func (l *Ledger) finishCommit(pending []*pendingChange, r statestore.Result, epoch uint64, failed []string) {
-	for _, f := range pending {
-		if f.job == nil {
+	for _, change := range pending {
+		if change.job == nil {
 			continue
 		}
-		if f.chunk >= 0 {
-			f.job.chunks[f.chunk].inFlight = false
+		if change.chunk >= 0 {
+			change.job.chunks[change.chunk].inFlight = false
 		} else {
-			f.job.endInFlight = false
+			change.job.endInFlight = false
 		}
 	}
 	if r == statestore.OK {
 		l.lastWrite = l.env.Now()
 		var started []*Placement
-		for _, f := range pending {
-			l.Changes.count(f)
-			if f.job == nil {
+		for _, change := range pending {
+			l.Changes.count(change)
+			if change.job == nil {
 				continue
 			}
-			if f.chunk < 0 {
-				f.job.Final, f.job.Stamp = Done, epoch
+			if change.chunk < 0 {
+				change.job.Final, change.job.Stamp = Done, epoch
 			} else {
-				f.job.chunks[f.chunk].stamp = epoch
-				if f.deletion {
-					f.job.chunks[f.chunk].stamp = 0
+				change.job.chunks[change.chunk].stamp = epoch
+				if change.deletion {
+					change.job.chunks[change.chunk].stamp = 0
 				}
 			}
-			for _, p := range f.placed {
+			for _, p := range change.placed {
 				if !p.Gone {
 					p.Durable = true
 					started = append(started, p)
 				}
 			}
-			l.removeIfOver(f.job)
+			l.removeIfOver(change.job)
 		}
 		if len(started) > 0 && l.OnDurable != nil {
 			l.OnDurable(started)
@@ -367,17 +367,17 @@
 		return
 	}
 	retry := func() {
-		for _, f := range pending {
+		for _, change := range pending {
 			switch {
-			case f.job == nil:
-				if it, ok := l.store.Peek(f.key); ok {
-					l.orphans = append(l.orphans, orphan{f.key, it.Stamp})
+			case change.job == nil:
+				if it, ok := l.store.Peek(change.key); ok {
+					l.orphans = append(l.orphans, orphan{change.key, it.Stamp})
 				}
-			case l.Jobs[f.job.Spec.ID] != f.job:
-			case f.chunk < 0:
-				l.checkEnd(f.job)
+			case l.Jobs[change.job.Spec.ID] != change.job:
+			case change.chunk < 0:
+				l.checkEnd(change.job)
 			default:
-				l.markDirty(f.job, f.chunk*f.job.tasksPerChunk, len(f.placed) > 0)
+				l.markDirty(change.job, change.chunk*change.job.tasksPerChunk, len(change.placed) > 0)
 			}
 		}
 	}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -35,12 +35,12 @@
 	return n.CPUs <= free.CPUs+tolerance && n.GPUs <= free.GPUs+tolerance && n.MemGB <= free.MemGB+tolerance
 }
 
-// Add returns a+b.
+// Add returns n+b.
 func (n Resources) Add(b Resources) Resources {
 	return Resources{n.CPUs + b.CPUs, n.GPUs + b.GPUs, n.MemGB + b.MemGB}
 }
 
-// Sub returns a-b.
+// Sub returns n-b.
 func (n Resources) Sub(b Resources) Resources {
 	return Resources{n.CPUs - b.CPUs, n.GPUs - b.GPUs, n.MemGB - b.MemGB}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -503,7 +503,7 @@
 		"jobs", j.Open, "at_fault", j.AtFault, "waiting_jobs", j.Waiting, "waiting_tasks", j.WaitingTasks)
 	c := &t.ledger.Changes
 	t.node.env.Log().Info("written in this term", "for_s", roundToTenth((now - t.workers.Began()).Seconds()), "starts", c.Starts, "tasks", c.Tasks, "ends", c.Ends,
-		"marks", c.Marks, "drops", c.Drops)
+		"marks", c.StateUpdates, "drops", c.Deletions)
 	// In the log, "door" is the admission of submissions, "shut" the number of blocked classes
 	// and "floored" the number of jobs within a minimum share.
 	t.node.env.Log().Info("door", "ease", roundToTenth(t.admitFraction), "behind_s", roundToTenth(t.ledger.WriteBacklogS(model.Low)), "others_hold", roundToTenth(t.allocator.HeldByOthers(now)), "wanted", roundToTenth(t.node.submissionQueue.ArrivalRate(now)),
--- a/internal/placement/claims.go
+++ b/internal/placement/claims.go
@@ -37,14 +37,14 @@
 // Guaranteed reports whether the claim is on a guarantee, for which running tasks may be
 // stopped. A job with just a minimum share only takes capacity that becomes free: when
 // machines were also held for it, a gang that waited for units found none
-// (TestLargeRequest).
+// (sim.TestLargeRequest).
 func (c Claim) Guaranteed() bool { return c != NoClaim && c != MinShare }
 
 // hasMinShare reports whether the claim is on a minimum share.
 func (c Claim) hasMinShare() bool { return c == MinShare || c == MinShareAndGuarantee }
 
-// NewClaims divides the guarantees of the teams among their jobs; in holds the jobs within
-// a minimum share. First come the jobs that fit in together with their team's earlier
+// NewClaims divides the guarantees of the teams among their jobs. inMinShare holds the jobs
+// within a minimum share. First come the jobs that fit in together with their team's earlier
 // unfinished jobs, until all their tasks have begun. The rest of a guarantee goes to the
 // team's other jobs that can still meet an objective, in the order in which they are
 // placed. When the oldest jobs had it, large jobs that were late or about to be late held
@@ -54,12 +54,12 @@
 // Jobs within a minimum share come first among those others, and have a claim of their own
 // if nothing of the guarantee is left. Without that, a burst of urgent jobs starved the
 // class below it: only 37% of its jobs completed.
-func NewClaims(l *ledger.Ledger, objectives *Objectives, in map[*ledger.Job]bool, now time.Duration) Claims {
+func NewClaims(l *ledger.Ledger, objectives *Objectives, inMinShare map[*ledger.Job]bool, now time.Duration) Claims {
 	claims := Claims{}
 	inOrder, claimed := map[*ledger.Team]model.Resources{}, map[*ledger.Team]model.Resources{}
 	var rest []*ledger.Job
 	need := func(j *ledger.Job) model.Resources { return j.Spec.Resources.Times(float64(j.WantedTasks())) }
-	for j := range in {
+	for j := range inMinShare {
 		claims[j] = MinShare
 	}
 	for _, j := range l.Order() {
@@ -77,13 +77,13 @@
 				continue
 			}
 		}
-		if in[j] || !objectives.Missed(j, false, now) {
+		if inMinShare[j] || !objectives.Missed(j, false, now) {
 			rest = append(rest, j)
 		}
 	}
 	slices.SortStableFunc(rest, func(a, b *ledger.Job) int {
-		if in[a] != in[b] {
-			return trueFirst(in[a])
+		if inMinShare[a] != inMinShare[b] {
+			return trueFirst(inMinShare[a])
 		}
 		return cmp.Or(cmp.Compare(b.Spec.Priority, a.Spec.Priority), cmp.Compare(remainingWork(a), remainingWork(b)))
 	})
@@ -91,7 +91,7 @@
 		t := l.Teams[j.Spec.Team]
 		if u := claimed[t].Add(need(j)); t.Guarantees(u) {
 			claims[j], claimed[t] = SpareGuarantee, u
-			if in[j] {
+			if inMinShare[j] {
 				claims[j] = MinShareAndGuarantee
 			}
 		}
--- a/internal/placement/due.go
+++ b/internal/placement/due.go
@@ -23,10 +23,11 @@
 
 // dueBy returns the time by which the job should end, given its estimated run time, to
 // meet the earliest of its objectives that can still be met, or to start within
-// defaultStartDelay if it has none.
-func (a *Objectives) dueBy(j *ledger.Job, within bool, now time.Duration) time.Duration {
+// defaultStartDelay if it has none. If its first objective is missed, the start within
+// defaultStartDelay counts as one.
+func (o *Objectives) dueBy(j *ledger.Job, entitled bool, now time.Duration) time.Duration {
 	best := j.AcceptedAt + defaultStartDelay
-	for i, t := range a.StartBy(j, within) {
+	for i, t := range o.StartBy(j, entitled) {
 		if t >= now && (i == 0 || t < best || best < now) {
 			best = t
 		}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -29,7 +29,7 @@
 	return slices.DeleteFunc(cs, func(c candidate) bool { return c.machine.Zone != zone })
 }
 
-func placeGang(l *ledger.Ledger, v *View, r *machineIndex, j *ledger.Job, team *ledger.Team) bool {
+func placeGang(l *ledger.Ledger, v *View, index *machineIndex, j *ledger.Job, team *ledger.Team) bool {
 	if j.Placed > 0 && !ledger.Forming(j) {
 		j.WaitReason = "its last attempt isn't gone yet"
 		return false
@@ -63,14 +63,14 @@
 		return false
 	}
 	const reason = "not enough machines have room at once"
-	if r.knownToFail(j.Spec, n) && !v.hasHold(j) {
+	if index.knownToFail(j.Spec, n) && !v.hasHold(j) {
 		j.WaitReason = reason
 		return false
 	}
-	machines, onlyCapacity := pickGang(l, v, r.machines, j, n)
+	machines, onlyCapacity := pickGang(l, v, index.machines, j, n)
 	if machines == nil {
 		if onlyCapacity {
-			r.recordMiss(j.Spec, n)
+			index.recordMiss(j.Spec, n)
 		}
 		j.WaitReason = reason
 		return false
@@ -82,7 +82,7 @@
 			k++
 		}
 	}
-	r.dropFull(machines)
+	index.dropFull(machines)
 	return true
 }
 
@@ -123,7 +123,7 @@
 			avoid = append(avoid, a)
 		}
 	}
-	home, known := boundZone(j)
+	boundTo, known := boundZone(j)
 	if !known {
 		return nil, false
 	}
@@ -136,7 +136,7 @@
 		if !j.Spec.Resources.Fits(free) || !Allowed(j, m) || !v.mayUse(j, m) {
 			continue
 		}
-		if home != "" && m.Zone != home {
+		if boundTo != "" && m.Zone != boundTo {
 			onlyCapacity = false
 			continue
 		}
--- a/internal/placement/minshares.go
+++ b/internal/placement/minshares.go
@@ -20,8 +20,7 @@
 	Weight func(team string) float64
 }
 
-// dominantShare returns which part of the whole n needs, of the resource that it needs the
-// largest part of.
+// dominantShare returns the largest fraction that n needs of any resource of the whole.
 func dominantShare(n, whole model.Resources) float64 {
 	s := 0.0
 	for _, x := range [][2]float64{{n.CPUs, whole.CPUs}, {n.GPUs, whole.GPUs}, {n.MemGB, whole.MemGB}} {
@@ -39,12 +38,15 @@
 // that it sorts like a larger one.
 const missedRankFactor = 8
 
-// JobsWithin returns the jobs within the minimum share of their class and team. The result
-// depends only on the unfinished jobs and when they were accepted, which are durable, so
-// that a new leader computes the same. The unfinished jobs of a waiting class accumulate,
-// so that its minimum share grows until it meets the demand of the smallest of them.
-func (f *MinShares) JobsWithin(l *ledger.Ledger, objectives *Objectives, whole model.Resources, now time.Duration) map[*ledger.Job]bool {
-	if f == nil || f.FloorFraction <= 0 {
+// JobsWithin returns the jobs within the minimum share of their class and team, or nil if no
+// job waits. The result depends mainly on the unfinished jobs and when they were accepted,
+// which are durable, and not on where tasks run. A new leader computes nearly the same: only
+// the corrections of estimates and the known machines may differ.
+//
+// The unfinished jobs of a waiting class accumulate, so that its minimum share grows until
+// it meets the demand of the smallest of them.
+func (ms *MinShares) JobsWithin(l *ledger.Ledger, objectives *Objectives, whole model.Resources, now time.Duration) map[*ledger.Job]bool {
+	if ms == nil || ms.FloorFraction <= 0 {
 		return nil
 	}
 	type member struct {
@@ -85,8 +87,8 @@
 		g := groups[k]
 		slices.SortStableFunc(g, func(a, b member) int { return cmp.Compare(a.rank, b.rank) })
 		s := &fair.Share{Key: k}
-		for _, m := range g[:int(math.Ceil(f.FloorJobFraction*float64(len(g))))] {
-			s.Demand += dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks()) * (m.j.EstimateS() + startupS) / f.FloorPeriod.Seconds()
+		for _, m := range g[:int(math.Ceil(ms.FloorJobFraction*float64(len(g))))] {
+			s.Demand += dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks()) * (m.j.EstimateS() + startupS) / ms.FloorPeriod.Seconds()
 		}
 		shares[i] = s
 		if topPriority[k] == highest {
@@ -95,9 +97,9 @@
 			rest = append(rest, s)
 		}
 	}
-	fair.ByTeam(f.FloorFraction, urgent, f.Weight)
-	fair.ByTeam(f.FloorFraction, rest, f.Weight)
-	in := map[*ledger.Job]bool{}
+	fair.ByTeam(ms.FloorFraction, urgent, ms.Weight)
+	fair.ByTeam(ms.FloorFraction, rest, ms.Weight)
+	inMinShare := map[*ledger.Job]bool{}
 	for i, k := range keys {
 		used := 0.0
 		for _, m := range groups[k] {
@@ -106,8 +108,8 @@
 				break
 			}
 			used += n
-			in[m.j] = true
+			inMinShare[m.j] = true
 		}
 	}
-	return in
+	return inMinShare
 }
--- a/internal/placement/minshares_test.go
+++ b/internal/placement/minshares_test.go
@@ -11,10 +11,10 @@
 	"brooklb/internal/settings"
 )
 
-// TestFloors checks the minimum shares: together they are no more than their part of the
+// TestMinShares checks the minimum shares: together they are no more than their part of the
 // cluster, apart from the first job of each class; each class with unfinished jobs has
 // one; and the smallest jobs come first.
-func TestFloors(t *testing.T) {
+func TestMinShares(t *testing.T) {
 	f := &MinShares{Sharing: settings.DefaultSharing()}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestFloorsOfInventedClasses guards against a team that gains by inventing classes.
-func TestFloorsOfInventedClasses(t *testing.T) {
+// TestMinSharesOfInventedClasses guards against a team that gains by inventing classes.
+func TestMinSharesOfInventedClasses(t *testing.T) {
 	w := newWorld(1, 100)
 	for i := range 400 {
 		w.job(model.Spec{Team: "red", Class: fmt.Sprint(i), Tasks: 4, Resources: model.Resources{GPUs: 1}, EstimateS: 100})
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestFloorIsKept checks that an urgent job, also one of the same team, can't stop tasks
+// TestMinShareIsKept checks that an urgent job, also one of the same team, can't stop tasks
 // within a minimum share, but can stop tasks beyond it.
-func TestFloorIsKept(t *testing.T) {
+func TestMinShareIsKept(t *testing.T) {
 	w := newWorld(1, 10)
 	w.v.Objectives = NewObjectives([]settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 60}})
 	var low []*ledger.Job
@@ -92,9 +92,9 @@
 	for range 10 {
 		urgent = append(urgent, w.job(model.Spec{Team: "free", Class: "urgent", Tasks: 1, Resources: model.Resources{GPUs: 8}, EstimateS: 100, Image: "j", Priority: model.High}))
 	}
-	for _, floors := range []bool{true, false} {
+	for _, minShares := range []bool{true, false} {
 		in := map[*ledger.Job]bool{}
-		if floors {
+		if minShares {
 			in = w.jobsWithinMinShares()
 		}
 		st := NewPreemptor(w.l, w.v, NewClaims(w.l, w.v.Objectives, in, w.v.Now))
@@ -108,19 +108,19 @@
 					kept++
 				}
 				if in[j] == st.mayPreempt(urgent[9], p) {
-					t.Errorf("minimum shares %v: a job within its minimum share: %v, may be stopped: %v", floors, in[j], !in[j])
+					t.Errorf("minimum shares %v: a job within its minimum share: %v, may be stopped: %v", minShares, in[j], !in[j])
 				}
 			}
 		}
-		if floors && (kept == 0 || stoppable == 0) || !floors && kept > 0 {
-			t.Errorf("minimum shares %v: %d kept, %d may be stopped", floors, kept, stoppable)
+		if minShares && (kept == 0 || stoppable == 0) || !minShares && kept > 0 {
+			t.Errorf("minimum shares %v: %d kept, %d may be stopped", minShares, kept, stoppable)
 		}
 	}
 }
 
-// flooded returns a full cluster of 1,300 machines with 10,000 jobs and 250,000 tasks
+// newOverloadedWorld returns a full cluster of 1,300 machines with 10,000 jobs and 250,000 tasks
 // waiting.
-func flooded() *world {
+func newOverloadedWorld() *world {
 	w, r := newWorld(1, 1300), rand.New(rand.NewPCG(1, 1))
 	full := w.job(model.Spec{Team: "free", Tasks: 10400 - 8, Resources: model.Resources{CPUs: 1, GPUs: 1}, Image: "i", CheckpointS: 5, EstimateS: 60, Spot: true})
 	Run(w.l, w.v, []*ledger.Job{full}, func(*ledger.Job) {})
@@ -131,19 +131,19 @@
 	return w
 }
 
-// BenchmarkFloors measures computing the minimum shares on an overloaded cluster.
-func BenchmarkFloors(b *testing.B) {
-	w := flooded()
+// BenchmarkMinShares measures computing the minimum shares on an overloaded cluster.
+func BenchmarkMinShares(b *testing.B) {
+	w := newOverloadedWorld()
 	b.ReportAllocs()
 	for b.Loop() {
 		w.jobsWithinMinShares()
 	}
 }
 
-// BenchmarkFloodedPass measures a placement pass on an overloaded cluster, without its
+// BenchmarkOverloadedPass measures a placement pass on an overloaded cluster, without its
 // minimum shares.
-func BenchmarkFloodedPass(b *testing.B) {
-	w := flooded()
+func BenchmarkOverloadedPass(b *testing.B) {
+	w := newOverloadedWorld()
 	in := w.jobsWithinMinShares()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/placement/objectives.go
+++ b/internal/placement/objectives.go
@@ -25,45 +25,45 @@
 
 // NewObjectives groups the configured objectives by kind and class.
 func NewObjectives(os []settings.Objective) *Objectives {
-	a := &Objectives{wait: map[string][]float64{}, completion: map[string][]float64{}, deadline: map[string][]float64{}}
+	objectives := &Objectives{wait: map[string][]float64{}, completion: map[string][]float64{}, deadline: map[string][]float64{}}
 	for _, o := range os {
 		switch o.Kind {
 		case "wait":
-			a.wait[o.Class] = append(a.wait[o.Class], o.WithinS)
+			objectives.wait[o.Class] = append(objectives.wait[o.Class], o.WithinS)
 		case "finished":
-			a.completion[o.Class] = append(a.completion[o.Class], o.WithinS)
+			objectives.completion[o.Class] = append(objectives.completion[o.Class], o.WithinS)
 		case "deadline":
 			t := o.Times
 			if t <= 0 {
 				t = 1
 			}
-			a.deadline[o.Class] = append(a.deadline[o.Class], t)
+			objectives.deadline[o.Class] = append(objectives.deadline[o.Class], t)
 		case "guarantee":
-			a.guarantee = o.WithinS
+			objectives.guarantee = o.WithinS
 		}
 	}
-	return a
+	return objectives
 }
 
 // HasWaitObjective reports whether an objective limits how long jobs of this class wait.
-func (a *Objectives) HasWaitObjective(j *ledger.Job) bool { return len(a.wait[j.Spec.Class]) > 0 }
+func (o *Objectives) HasWaitObjective(j *ledger.Job) bool { return len(o.wait[j.Spec.Class]) > 0 }
 
 // StartBy returns the times (on the steady clock) by which the job's tasks must run to
-// meet its objectives, one per objective. within says whether the guarantee covers the
-// job.
-func (a *Objectives) StartBy(j *ledger.Job, within bool) []time.Duration {
+// meet its objectives, one per objective. The objective for guarantees counts only if the
+// job is entitled (Entitled).
+func (o *Objectives) StartBy(j *ledger.Job, entitled bool) []time.Duration {
 	var out []time.Duration
 	add := func(s float64) { out = append(out, j.AcceptedAt+time.Duration(s*float64(time.Second))) }
 	c := j.Spec.Class
-	for _, w := range a.wait[c] {
+	for _, w := range o.wait[c] {
 		add(w)
 	}
 	run := j.EstimateS() * estimateSlack
-	for _, f := range a.completion[c] {
+	for _, f := range o.completion[c] {
 		add(f - run)
 	}
 	if j.Spec.DeadlineS > 0 {
-		ts := a.deadline[c]
+		ts := o.deadline[c]
 		if len(ts) == 0 {
 			ts = []float64{1}
 		}
@@ -71,28 +71,28 @@
 			add(j.Spec.DeadlineS*t - run)
 		}
 	}
-	if within && a.guarantee > 0 {
-		add(a.guarantee)
+	if entitled && o.guarantee > 0 {
+		add(o.guarantee)
 	}
 	return out
 }
 
 // guaranteeDeadline returns the time by which the job's tasks must start to meet the
 // objective for guarantees. Without such an objective it lies in the far future.
-func (a *Objectives) guaranteeDeadline(j *ledger.Job) time.Duration {
-	if a.guarantee <= 0 {
+func (o *Objectives) guaranteeDeadline(j *ledger.Job) time.Duration {
+	if o.guarantee <= 0 {
 		return math.MaxInt64 / 2
 	}
-	return j.AcceptedAt + time.Duration(a.guarantee*float64(time.Second))
+	return j.AcceptedAt + time.Duration(o.guarantee*float64(time.Second))
 }
 
 // Missed reports whether the job can't meet any of its objectives any more, even if it
 // runs for clearly less time than its owner estimated. It is false for a job without
 // objectives.
-func (a *Objectives) Missed(j *ledger.Job, within bool, now time.Duration) bool {
-	ts := a.StartBy(j, within)
+func (o *Objectives) Missed(j *ledger.Job, entitled bool, now time.Duration) bool {
+	ts := o.StartBy(j, entitled)
 	early := time.Duration(j.EstimateS() * (estimateSlack - 0.7) * float64(time.Second))
-	prompt := len(a.wait[j.Spec.Class])
+	prompt := len(o.wait[j.Spec.Class])
 	for i, t := range ts {
 		if i >= prompt {
 			t += early
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -17,7 +17,7 @@
 // have waited, so that none starves.
 func Order(l *ledger.Ledger, v *View, claims Claims) []*ledger.Job {
 	var rs []ranked
-	gangs := map[rankClass]bool{}
+	ignoreDue := map[rankClass]bool{} // classes with gangs or services, which are sorted by work only
 	for _, j := range l.Order() {
 		if !Waiting(j) {
 			continue
@@ -39,7 +39,7 @@
 			r.due = v.Objectives.dueBy(j, c == Entitled, v.Now)
 		}
 		if j.Spec.Kind != model.Array {
-			gangs[r.rankClass()] = true
+			ignoreDue[r.rankClass()] = true
 		}
 		rs = append(rs, r)
 	}
@@ -53,7 +53,7 @@
 		if x.missed != y.missed {
 			return trueFirst(y.missed)
 		}
-		if !x.missed && v.Objectives != nil && !gangs[x.rankClass()] {
+		if !x.missed && v.Objectives != nil && !ignoreDue[x.rankClass()] {
 			if x.late != y.late {
 				return trueFirst(y.late)
 			}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -46,9 +46,9 @@
 // overdue, when a machine may be rented for them.
 func Run(l *ledger.Ledger, v *View, order []*ledger.Job, refused func(*ledger.Job)) []*ledger.Job {
 	var left []*ledger.Job
-	r := newMachineIndex(v)
+	index := newMachineIndex(v)
 	for _, j := range order {
-		if !placeJob(l, v, r, j) && (!j.Faulty() || j.MayRentForTrial(v.Now)) {
+		if !placeJob(l, v, index, j) && (!j.Faulty() || j.MayRentForTrial(v.Now)) {
 			left = append(left, j)
 			if !j.Faulty() {
 				refused(j)
@@ -106,14 +106,14 @@
 	return !j.Spec.Spread || count[zone] < j.Spec.MaxPerZone()
 }
 
-func placeJob(l *ledger.Ledger, v *View, r *machineIndex, j *ledger.Job) bool {
+func placeJob(l *ledger.Ledger, v *View, index *machineIndex, j *ledger.Job) bool {
 	team := l.Teams[j.Spec.Team]
 	if team == nil {
 		j.WaitReason = "its team is not in the settings"
 		return false
 	}
 	if j.Spec.Kind == model.Gang {
-		return placeGang(l, v, r, j, team)
+		return placeGang(l, v, index, j, team)
 	}
 	count, ok := placementsByZone(j)
 	if !ok {
@@ -121,14 +121,14 @@
 		return false
 	}
 	s := j.Spec
-	if r.knownToFail(s, 1) && !v.hasHold(j) && !isBeingMoved(j) {
+	if index.knownToFail(s, 1) && !v.hasHold(j) && !isBeingMoved(j) {
 		j.WaitReason = "no machine has room"
 		return false
 	}
 	all, onlyCapacity := true, true
 	var h candidateHeap
 	built := false
-	defer func() { r.dropFull(h.taken) }()
+	defer func() { index.dropFull(h.taken) }()
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		if t.Done || t.CurrentPlacement != nil || t.Unwanted {
@@ -149,14 +149,14 @@
 		if !v.Units.Allow(l, j, 1) {
 			return false
 		}
-		if w := t.MoveTarget; w != nil && v.Now < t.MoveDeadline && Usable(w, v) && Allowed(j, w) && s.Resources.Fits(w.Free()) && zoneAllows(j, count, w.Zone) && j.PortFree(i, w) {
-			l.Plan(j, i, t.Attempt+1, w) // the destination was chosen when its old machine was drained
-			count[w.Zone]++
+		if target := t.MoveTarget; target != nil && v.Now < t.MoveDeadline && Usable(target, v) && Allowed(j, target) && s.Resources.Fits(target.Free()) && zoneAllows(j, count, target.Zone) && j.PortFree(i, target) {
+			l.Plan(j, i, t.Attempt+1, target) // the destination was chosen when its old machine was drained
+			count[target.Zone]++
 			continue
 		}
 		if !built {
 			built = true
-			for _, m := range r.machines {
+			for _, m := range index.machines {
 				if s.Resources.Fits(m.Free()) && Allowed(j, m) && v.mayUse(j, m) {
 					h.candidates = append(h.candidates, candidate{m, Score(l, v, j, m)})
 				}
@@ -177,7 +177,7 @@
 			// constraints: one array bound to a full zone made the others wait while
 			// machines elsewhere were empty.
 			if onlyCapacity && h.Len() == 0 {
-				r.recordMiss(s, 1)
+				index.recordMiss(s, 1)
 			}
 			return false
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -70,9 +70,9 @@
 	return (&MinShares{Sharing: settings.DefaultSharing()}).JobsWithin(w.l, w.v.Objectives, w.v.TotalCapacity(), w.v.Now)
 }
 
-// TestStoppingIsAnOrder guards against jobs that preempt each other repeatedly: if a job
+// TestPreemptionIsAsymmetric guards against jobs that preempt each other repeatedly: if a job
 // may stop a task, the task's own job may never stop a task of that job.
-func TestStoppingIsAnOrder(t *testing.T) {
+func TestPreemptionIsAsymmetric(t *testing.T) {
 	pairs := 0
 	for seed := uint64(0); seed < 200; seed++ {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -118,12 +118,12 @@
 		left := Run(w.l, w.v, Order(w.l, w.v, NewClaims(w.l, w.v.Objectives, w.jobsWithinMinShares(), w.v.Now)), func(*ledger.Job) {})
 		for _, m := range w.v.Machines {
 			if !(model.Resources{}).Fits(m.Free()) {
-				t.Fatalf("seed %d: %s is over-full: %+v", seed, m.Name, m.Free())
+				t.Fatalf("seed %d: %s is overcommitted: %+v", seed, m.Name, m.Free())
 			}
 			for _, p := range m.Placements {
 				placed++
 				if m == held && p.Job != w.v.Holds[held].Job {
-					t.Fatalf("seed %d: held room was taken", seed)
+					t.Fatalf("seed %d: a machine held for another job was used", seed)
 				}
 				if s := p.Job.Spec; s.Kind == model.Gang && s.OneZone && m.Zone != p.Job.Tasks[0].CurrentPlacement.Host.Zone {
 					t.Fatalf("seed %d: a gang is in two zones", seed)
@@ -255,7 +255,7 @@
 	for _, kind := range []model.Kind{model.Array, model.Service} {
 		alike := w.job(spec(2, kind))
 		if run(full, alike); alike.Placed != 2 {
-			t.Errorf("%d of 2 tasks were placed beside an array that is bound to a full zone", alike.Placed)
+			t.Errorf("%d of 2 tasks were placed while an array is bound to a full zone", alike.Placed)
 		}
 	}
 	w = newWorld(2, 5) // x has three machines, y two
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -80,12 +80,12 @@
 // This relation must be asymmetric. If jobs of high priority beyond their team's guarantee
 // could stop tasks within a guarantee, and the other way round, they would preempt each
 // other repeatedly: one task was stopped fifty times.
-func (st *Preemptor) mayPreempt(j *ledger.Job, p *ledger.Placement) bool {
+func (pr *Preemptor) mayPreempt(j *ledger.Job, p *ledger.Placement) bool {
 	if p.Job == j || p.Job.Final != ledger.Open {
 		return false
 	}
 	lower := p.Job.Spec.Priority < j.Spec.Priority
-	jobClaim, taskClaim := st.claims[j], st.claims[p.Job]
+	jobClaim, taskClaim := pr.claims[j], pr.claims[p.Job]
 	switch {
 	case taskClaim > jobClaim:
 		return false
@@ -97,7 +97,7 @@
 	case p.Job.Spec.Team == j.Spec.Team || taskClaim == jobClaim || taskClaim != NoClaim:
 		return lower
 	}
-	t := st.l.Teams[p.Job.Spec.Team]
+	t := pr.l.Teams[p.Job.Spec.Team]
 	if lower || t == nil || (t.CPUs <= 0 && t.GPUs <= 0) {
 		return true
 	}
@@ -135,28 +135,28 @@
 	return &Preemptor{l: l, v: v, claims: claims, byMachine: map[*ledger.Machine]*preemptible{}}
 }
 
-func (st *Preemptor) optionsOn(m *ledger.Machine) *preemptible {
-	if s := st.byMachine[m]; s != nil && s.taskCount == len(m.Placements) {
+func (pr *Preemptor) optionsOn(m *ledger.Machine) *preemptible {
+	if s := pr.byMachine[m]; s != nil && s.taskCount == len(m.Placements) {
 		return s
 	}
 	s := &preemptible{taskCount: len(m.Placements), free: m.Free()}
 	for _, p := range m.Placements {
 		if p.Stopping {
 			s.free = s.free.Add(p.Job.Spec.Resources)
-		} else if c, ok := lossOf(p, st.v.Now); ok {
+		} else if c, ok := lossOf(p, pr.v.Now); ok {
 			s.victims = append(s.victims, victim{p, c})
 		}
 	}
 	slices.SortStableFunc(s.victims, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
-	st.byMachine[m] = s
+	pr.byMachine[m] = s
 	return s
 }
 
 // knownToFail reports whether the same request failed before for a job that may stop at
 // least the same tasks and needs no more.
-func (st *Preemptor) knownToFail(j *ledger.Job, n int, image string) bool {
-	for _, f := range st.failedRequests {
-		if f.n <= n && f.claim == st.claims[j] && f.image == image && f.j.Spec.Priority >= j.Spec.Priority && f.j.Spec.Team == j.Spec.Team &&
+func (pr *Preemptor) knownToFail(j *ledger.Job, n int, image string) bool {
+	for _, f := range pr.failedRequests {
+		if f.n <= n && f.claim == pr.claims[j] && f.image == image && f.j.Spec.Priority >= j.Spec.Priority && f.j.Spec.Team == j.Spec.Team &&
 			f.j.Spec.Kind == j.Spec.Kind && f.j.Spec.Resources.Fits(j.Spec.Resources) && SameConstraints(f.j.Spec, j.Spec) {
 			return true
 		}
@@ -168,12 +168,12 @@
 // least work. It returns these tasks and holds their machines for the job, or returns nil
 // if stopping tasks can't help. warm restricts the choice to machines that have the job's
 // image.
-func (st *Preemptor) Preempt(j *ledger.Job, warm bool) []*ledger.Placement {
-	l, v := st.l, st.v
+func (pr *Preemptor) Preempt(j *ledger.Job, warm bool) []*ledger.Placement {
+	l, v := pr.l, pr.v
 	s := j.Spec
 	team := l.Teams[s.Team]
 	n := j.Idle()
-	home, known := boundZone(j)
+	boundTo, known := boundZone(j)
 	if team == nil || n == 0 || !known || j.Placed > 0 && s.Kind == model.Gang && !ledger.Forming(j) {
 		return nil
 	}
@@ -187,16 +187,16 @@
 		}
 	}
 	if n = min(n, l.TasksWithinUnits(j)); s.Kind == model.Gang && n < j.Idle() {
-		return st.preemptForUnits(j) // capacity without units would not help the job
+		return pr.preemptForUnits(j) // capacity without units would not help the job
 	}
 	if n <= 0 {
-		return st.preemptForUnits(j)
+		return pr.preemptForUnits(j)
 	}
 	image := ""
 	if warm {
 		image = s.Image
 	}
-	if st.knownToFail(j, n, image) {
+	if pr.knownToFail(j, n, image) {
 		return nil
 	}
 	type option struct {
@@ -211,13 +211,13 @@
 	var zs []string
 	var vs []victim
 	for _, m := range v.Machines {
-		if !Allowed(j, m) || !v.mayUse(j, m) || (home != "" && m.Zone != home) {
+		if !Allowed(j, m) || !v.mayUse(j, m) || (boundTo != "" && m.Zone != boundTo) {
 			continue
 		}
 		if _, ok := m.Images[s.Image]; warm && !ok {
 			continue
 		}
-		options := st.optionsOn(m)
+		options := pr.optionsOn(m)
 		free := options.free
 		if len(options.victims) == 0 && !s.Resources.Fits(free) {
 			continue
@@ -225,7 +225,7 @@
 		vs = vs[:0]
 		equal := false
 		for _, x := range options.victims {
-			if st.mayPreempt(j, x.p) {
+			if pr.mayPreempt(j, x.p) {
 				if x.p.Job.Spec.Priority >= s.Priority {
 					// The stopped task then competes for similar capacity: a last resort.
 					x.loss += equalPriorityPenalty
@@ -294,8 +294,8 @@
 			best, bestCost = pick, cost
 		}
 	}
-	if best == nil && home == "" && j.Zone == "" && j.Port == 0 {
-		st.failedRequests = append(st.failedRequests, failedRequest{j, n, st.claims[j], image})
+	if best == nil && boundTo == "" && j.Zone == "" && j.Port == 0 {
+		pr.failedRequests = append(pr.failedRequests, failedRequest{j, n, pr.claims[j], image})
 	}
 	var out []*ledger.Placement
 	for _, o := range best {
@@ -317,8 +317,8 @@
 // PreemptWarm chooses tasks to stop on machines that have the job's image, if fetching the
 // image to free machines would take longer than the wait objective allows: a fetch alone
 // can exceed it. It returns these tasks.
-func (st *Preemptor) PreemptWarm(j *ledger.Job) []*ledger.Placement {
-	l, v := st.l, st.v
+func (pr *Preemptor) PreemptWarm(j *ledger.Job) []*ledger.Placement {
+	l, v := pr.l, pr.v
 	if j.Placed > 0 || v.Objectives == nil {
 		return nil
 	}
@@ -340,7 +340,7 @@
 	if free != nil && fetch < left {
 		return nil
 	}
-	return st.Preempt(j, true)
+	return pr.Preempt(j, true)
 }
 
 func fetchTime(l *ledger.Ledger, j *ledger.Job, m *ledger.Machine) time.Duration {
--- a/internal/placement/projection.go
+++ b/internal/placement/projection.go
@@ -89,10 +89,10 @@
 // cluster full of short tasks, all waiting jobs seemed to start within seconds, no machine
 // was rented for them, and new jobs of higher priority were repeatedly placed first.
 //
-// Capacity that a team in queued frees is reserved for tasks of the team that its limit
-// keeps waiting: only tasks that the team may start now are projected, and these must not
-// wait for ends that its other tasks wait for as well. Without that, a team stayed at half
-// of its limit for minutes with thousands of tasks waiting.
+// Capacity that a team in queued frees is reserved for those of its tasks that its limit
+// keeps waiting. The projection has only tasks that the team may start now, which must not
+// wait for the same ends. Without that, a team stayed at half of its limit for minutes with
+// thousands of tasks waiting.
 func NewProjection(l *ledger.Ledger, v *View, retaken Retaken, queued map[string]bool) *Projection {
 	pr := &Projection{now: v.Now, types: l.Types, retaken: retaken, queuedTeams: queued}
 	n := 0
@@ -155,7 +155,7 @@
 
 // book occupies capacity of the machine from the given time on, for as long as the job
 // runs. retaken and queued mark the end of the run.
-func (s *ProjectedMachine) book(at time.Duration, j *ledger.Job, held, queued bool) {
+func (s *ProjectedMachine) book(at time.Duration, j *ledger.Job, retaken, queued bool) {
 	n, prio := j.Spec.Resources, j.Spec.Priority
 	k := 0
 	for i := range s.ends {
@@ -169,7 +169,7 @@
 	s.ends = s.ends[:k]
 	s.free = s.free.Sub(n)
 	s.at = max(s.at, at)
-	e := projectedEnd{at + expectedRun(j), n, prio, held, queued}
+	e := projectedEnd{at + expectedRun(j), n, prio, retaken, queued}
 	i := sort.Search(len(s.ends), func(i int) bool { return s.ends[i].at > e.at })
 	s.ends = append(s.ends, projectedEnd{})
 	copy(s.ends[i+1:], s.ends[i:])
--- a/internal/placement/projection_test.go
+++ b/internal/placement/projection_test.go
@@ -8,10 +8,10 @@
 	"brooklb/internal/model"
 )
 
-// TestWhatIsTakenAgain guards against a projection in which waiting jobs get all capacity
-// that becomes free. Future jobs of higher priority take their own again, and the waiting
-// tasks of a team at its limit take what the team frees.
-func TestWhatIsTakenAgain(t *testing.T) {
+// TestRetakenCapacity guards against a projection in which waiting jobs get all capacity
+// that becomes free. Future jobs of higher priority take the capacity of earlier ones again,
+// and the waiting tasks of a team at its limit take the capacity that the team frees.
+func TestRetakenCapacity(t *testing.T) {
 	w := newWorld(1, 4)
 	spec := func(team string, prio model.Priority, tasks int, s float64) model.Spec {
 		return model.Spec{Team: team, Tasks: tasks, Priority: prio, Image: "i", Resources: model.Resources{CPUs: 1, GPUs: 1}, EstimateS: s, Spot: true}
@@ -38,11 +38,11 @@
 		queued    map[string]bool
 		soon, all int // how many of 17 tasks start within 15 s and within 70 s
 	}{
-		{"nothing is taken again", low, 0, nil, 16, 17},
-		{"half of it", low, 0.5, nil, 8, 17},
-		{"all of it", low, 1, nil, 0, 8},
-		{"all, and the team waits for its limit", low, 1, map[string]bool{"red": true}, 0, 0},
-		{"as urgent as what comes", high, 1, map[string]bool{"red": true}, 16, 17},
+		{"no capacity is retaken", low, 0, nil, 16, 17},
+		{"half of the capacity is retaken", low, 0.5, nil, 8, 17},
+		{"all capacity is retaken", low, 1, nil, 0, 8},
+		{"all capacity is retaken and the team is at its limit", low, 1, map[string]bool{"red": true}, 0, 0},
+		{"job of the same priority as future jobs", high, 1, map[string]bool{"red": true}, 16, 17},
 	} {
 		soon, all := 0, 0
 		for _, d := range first(c.j, c.retaken, c.queued) {
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -25,21 +25,21 @@
 }
 
 func newMachineIndex(v *View) *machineIndex {
-	r := &machineIndex{}
+	x := &machineIndex{}
 	for _, m := range v.Machines {
 		if f := m.Free(); f.CPUs > 1e-6 || f.GPUs > 1e-6 {
-			r.machines = append(r.machines, m)
+			x.machines = append(x.machines, m)
 		}
 	}
-	return r
+	return x
 }
 
 // dropFull removes those of the given machines that have become full.
-func (r *machineIndex) dropFull(full []*ledger.Machine) {
+func (x *machineIndex) dropFull(full []*ledger.Machine) {
 	for _, m := range full {
 		if f := m.Free(); f.CPUs <= 1e-6 || (m.Cap.GPUs > 0 && f.GPUs <= 1e-6 && f.CPUs <= 1e-6) {
-			if i, ok := slices.BinarySearchFunc(r.machines, m, func(a, b *ledger.Machine) int { return cmp.Compare(a.Name, b.Name) }); ok {
-				r.machines = slices.Delete(r.machines, i, i+1)
+			if i, ok := slices.BinarySearchFunc(x.machines, m, func(a, b *ledger.Machine) int { return cmp.Compare(a.Name, b.Name) }); ok {
+				x.machines = slices.Delete(x.machines, i, i+1)
 			}
 		}
 	}
@@ -47,8 +47,8 @@
 
 // knownToFail reports whether the same or a smaller need, with the same constraints and
 // for no more tasks at once, has found no room.
-func (r *machineIndex) knownToFail(s *model.Spec, n int) bool {
-	for _, f := range r.failed {
+func (x *machineIndex) knownToFail(s *model.Spec, n int) bool {
+	for _, f := range x.failed {
 		if f.n <= n && f.need.Fits(s.Resources) && SameConstraints(f.spec, s) {
 			return true
 		}
@@ -56,8 +56,8 @@
 	return false
 }
 
-func (r *machineIndex) recordMiss(s *model.Spec, n int) {
-	r.failed = append(r.failed, failedNeed{s, s.Resources, n})
+func (x *machineIndex) recordMiss(s *model.Spec, n int) {
+	x.failed = append(x.failed, failedNeed{s, s.Resources, n})
 }
 
 // SameConstraints reports whether two jobs may use the same machines.
@@ -67,9 +67,9 @@
 }
 
 // countSlots returns how many tasks of the given need fit into the free capacity, at most
-// most. It counts one if the need is empty.
-func countSlots(free, need model.Resources, most int) (n int) {
-	for n < most && need.Fits(free) {
+// limit. It counts one if the need is empty.
+func countSlots(free, need model.Resources, limit int) (n int) {
+	for n < limit && need.Fits(free) {
 		n++
 		if need == (model.Resources{}) {
 			break
--- a/internal/placement/units.go
+++ b/internal/placement/units.go
@@ -14,9 +14,9 @@
 // UnitQueues orders the jobs that wait for counted resources. Most of the order is that of
 // Order. But a request for many units at once would never find them free together while
 // requests for single units keep being granted. The first such request for a resource
-// therefore has a reservation: its start is projected from the ends of the tasks that hold
-// units, and until then later requests only get units that will be back by that time or
-// left over then.
+// therefore has a reservation. Its start is projected from the ends of the tasks that hold
+// units. Until then, later requests only get units that will be back by that time or left
+// over then.
 type UnitQueues struct {
 	waiting      map[*units.Resource][]*ledger.Job
 	reservations map[*units.Resource]*reservation
@@ -92,8 +92,8 @@
 	return 1
 }
 
-// reserve finds the first request in a queue that needs several units at once and will
-// have them, and projects when it can start. It returns nil if there is none.
+// reserve finds the first request in a queue that needs several units at once and can get
+// them, and projects when it can start. It returns nil if there is none.
 func (q *UnitQueues) reserve(l *ledger.Ledger, r *units.Resource, js []*ledger.Job) *reservation {
 	for _, j := range js {
 		need := 0
@@ -139,14 +139,14 @@
 			ends = append(ends, unitsBack{q.expectedEnd(l, holder), n})
 		}
 		slices.SortFunc(ends, func(a, b unitsBack) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.n, b.n)) })
-		h := &reservation{j: j, need: need, computedAt: q.now, at: q.now}
+		res := &reservation{j: j, need: need, computedAt: q.now, at: q.now}
 		sum := free
 		for _, e := range ends {
 			if sum >= need {
 				break
 			}
 			sum += e.n
-			h.at = e.at
+			res.at = e.at
 		}
 		if sum < need || r.Capacity() < need {
 			continue // its units won't be free when all holders end, so it must not block others
@@ -154,15 +154,15 @@
 		if old != nil {
 			// Tasks that run longer than estimated must not postpone the projected start:
 			// other requests could always fit in one more task before it.
-			h.at = min(h.at, old.at)
+			res.at = min(res.at, old.at)
 		}
 		for _, e := range ends {
-			if e.at <= h.at {
+			if e.at <= res.at {
 				free += e.n
 			}
 		}
-		h.extra = max(0, free-need)
-		return h
+		res.extra = max(0, free-need)
+		return res
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 }
 
 // Allow reports whether n more tasks of the job may take their units now. If not, it sets
-// the reason in j.Waits.
+// the reason in j.WaitReason.
 func (q *UnitQueues) Allow(l *ledger.Ledger, j *ledger.Job, n int) bool {
 	if !j.RequestsUnits() {
 		return true
@@ -208,23 +208,23 @@
 	}
 	var reserved *units.Resource
 	l.EachUnitNeed(j, n, func(r *units.Resource, need int) {
-		h := q.reservations[r]
-		if h == nil || h.j == j || before(r, j, h.j) < 0 || need <= h.extra {
+		res := q.reservations[r]
+		if res == nil || res.j == j || before(r, j, res.j) < 0 || need <= res.extra {
 			return
 		}
-		if j.Spec.Kind != model.Service && q.now+expectedRun(j)+backfillSlack <= h.at {
+		if j.Spec.Kind != model.Service && q.now+expectedRun(j)+backfillSlack <= res.at {
 			return
 		}
 		reserved = r
 	})
 	if reserved != nil {
-		h := q.reservations[reserved]
-		j.WaitReason = fmt.Sprintf("units of %s are kept for %s, which needs %d at once and came first", reserved.Name, h.j.Spec.ID, h.need) + q.position(reserved, j)
+		res := q.reservations[reserved]
+		j.WaitReason = fmt.Sprintf("units of %s are kept for %s, which needs %d at once and came first", reserved.Name, res.j.Spec.ID, res.need) + q.position(reserved, j)
 		return false
 	}
 	l.EachUnitNeed(j, n, func(r *units.Resource, need int) {
-		if h := q.reservations[r]; h != nil && h.j != j && q.now+expectedRun(j)+backfillSlack > h.at {
-			h.extra -= need
+		if res := q.reservations[r]; res != nil && res.j != j && q.now+expectedRun(j)+backfillSlack > res.at {
+			res.extra -= need
 		}
 	})
 	return true
@@ -281,8 +281,8 @@
 // preemptForUnits returns tasks of lower priority to stop so that the job gets the units
 // that it lacks. It chooses those that lose the least work, and returns nil if that can't
 // help.
-func (st *Preemptor) preemptForUnits(j *ledger.Job) []*ledger.Placement {
-	r, need := st.l.FirstShortage(j, simultaneousTasks(j))
+func (pr *Preemptor) preemptForUnits(j *ledger.Job) []*ledger.Placement {
+	r, need := pr.l.FirstShortage(j, simultaneousTasks(j))
 	if r == nil || need > r.Capacity() {
 		return nil
 	}
@@ -300,7 +300,7 @@
 			missing -= n
 			continue
 		}
-		if c, ok := lossOf(p, st.v.Now); ok && st.mayPreempt(j, p) && p.Job.Spec.Priority < j.Spec.Priority {
+		if c, ok := lossOf(p, pr.v.Now); ok && pr.mayPreempt(j, p) && p.Job.Spec.Priority < j.Spec.Priority {
 			vs = append(vs, victim{p, c})
 		}
 	}
