--- a/internal/cancellation/cancellation.go
+++ b/internal/cancellation/cancellation.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// CompleteUntil is the time up to which the leader knows every cancellation that another
-// node has informed a user of; less than 0 if no such time is known.
+// CompleteUntil returns the time up to which the leader knows every cancellation that another
+// node has informed a user of. It is less than 0 if no such time is known.
 func (t *Tracker) CompleteUntil(now time.Duration) time.Duration {
 	at := now
 	for _, c := range t.completeUntil {
--- a/internal/cancellation/cancellation_test.go
+++ b/internal/cancellation/cancellation_test.go
@@ -267,9 +267,9 @@
 	}
 }
 
-// TestReadAnew checks that after a resync, which may have missed individual changes, the answer
+// TestResync checks that after a resync, which may have missed individual changes, the answer
 // to a leader that may lack one of them is marked as incomplete.
-func TestReadAnew(t *testing.T) {
+func TestResync(t *testing.T) {
 	n := newNode()
 	n.synced = true
 	n.put(ledger.JobKey(id(1)), statestore.Item{Value: record(t, 1, ledger.Cancelled), Stamp: 40})
--- a/internal/fleet/boots.go
+++ b/internal/fleet/boots.go
@@ -30,22 +30,22 @@
 	// meanBootFactor is the ratio of the mean boot time to the one that the cloud states.
 	meanBootFactor = 1.1
 	// maxBootSamples and bootSampleAge limit the samples that are kept, minBootSamples is
-	// how many are needed for an estimate. Samples of a whole large rental must fit: of
-	// 1,200 machines 26 never came up, and compared with just the last 16 that did they
-	// made boots look slower and slower, so that none of them was given up.
+	// how many are needed for an estimate. Samples of a whole large rental must fit: when 26
+	// of 1,200 machines never came up and only the last 16 samples were kept, the estimate
+	// rose all the time and none of the 26 was given up.
 	maxBootSamples = 2000
 	bootSampleAge  = 4 * time.Minute
 	minBootSamples = 3
 	// Boot times usually lie between fastBootFactor and slowBootFactor times the typical
 	// one. The first machines of a rental to come up are faster than the typical one, so
-	// that the estimate may be less than the cloud's figure only if it is at most
-	// fastBootFactor times that figure.
+	// that the estimate may be less than the nominal boot time (meanBootFactor times the
+	// cloud's figure) only if it is at most fastBootFactor times that time.
 	fastBootFactor = 0.55
 	slowBootFactor = 1.4
 	// overdueFactor is the part of its age that a machine beyond that range is expected
 	// to take in addition: the longer it has taken, the longer it will still take.
 	overdueFactor = 0.5
-	// abandonFactor is after how many typical boots a machine is given up.
+	// abandonFactor is the number of typical boot times after which a machine is given up.
 	abandonFactor = 2
 	// maxBootFactor limits the typical boot to this multiple of the cloud's figure when
 	// deciding whether to give up a machine.
@@ -88,7 +88,7 @@
 }
 
 func (b *bootEstimator) record(ms []*ledger.Machine, now time.Duration) {
-	awaited := map[typeZone][]time.Duration{}
+	bootingAges := map[typeZone][]time.Duration{}
 	for _, m := range ms {
 		if !m.Booting || !m.TypeKnown {
 			continue
@@ -103,19 +103,19 @@
 				t.samples = append(t.samples, bootSample{now, max(0, now-m.RentedAt)})
 				t.samples = slices.Delete(t.samples, 0, max(0, len(t.samples)-maxBootSamples))
 			} else {
-				awaited[p] = append(awaited[p], now-m.RentedAt)
+				bootingAges[p] = append(bootingAges[p], now-m.RentedAt)
 			}
 		}
 	}
 	for p, t := range b.stats {
 		t.samples = slices.DeleteFunc(t.samples, func(s bootSample) bool { return now-s.at > bootSampleAge })
-		t.estimate(awaited[p])
+		t.estimate(bootingAges[p])
 	}
 }
 
 // estimate sets the typical boot: the median of the samples and of the expected boot times
 // of those machines that have been booting for longer than the median of the samples.
-func (t *bootStats) estimate(awaited []time.Duration) {
+func (t *bootStats) estimate(bootingAges []time.Duration) {
 	t.typical = 0
 	var all []time.Duration
 	for _, s := range t.samples {
@@ -126,7 +126,7 @@
 	if len(all) > 0 {
 		base = all[len(all)/2]
 	}
-	for _, age := range awaited {
+	for _, age := range bootingAges {
 		if age > base {
 			all = append(all, age+remainingBoot(base, age))
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet rents machines for waiting work and returns those that cost
-// more than they save. It also keeps the record of the rented machines up to date: the
+// Package fleet rents machines for waiting work and returns those that are idle,
+// silent or faulty. It also keeps the record of the rented machines up to date: the
 // cloud's list lags, requests may be executed late, and machines may fail.
 package fleet
 
@@ -81,9 +81,9 @@
 
 const callTimeout = 4 * time.Second
 
-// maxTickGap is the longest time between Ticks with proof of leading. Without that proof
-// nothing could be placed on machines that became idle, and new machines could not report:
-// all of them were returned as idle right after a long outage, and as many rented again.
+// maxTickGap is the longest time between Ticks while the node has proof of leading. Without
+// proof nothing is placed on machines that become idle, and new machines can't report: right
+// after a long outage all of them were returned as idle, and as many were rented again.
 const maxTickGap = 3 * time.Second
 
 // New creates the actor of a term.
@@ -141,8 +141,8 @@
 	return true
 }
 
-// Tick does what is due. Returns precede the list of machines, since they end costs and
-// confirm that machines are gone.
+// Tick sends the requests to the cloud that are due, and checks the machines. Returns precede
+// the list of machines, since they end costs and confirm that machines are gone.
 func (a *Actor) Tick() {
 	now := a.env.Now()
 	if a.tickedAt > 0 && now-a.tickedAt > maxTickGap {
@@ -192,17 +192,17 @@
 }
 
 // publishTypes writes the types for the other nodes if more than prices and boot times has
-// changed. Those matter to the leader only, and prices change all the time.
+// changed. Those matter only to the leader, and prices change often.
 func (a *Actor) publishTypes(ts []model.MachineType) {
-	shape := append([]model.MachineType(nil), ts...)
+	types := append([]model.MachineType(nil), ts...)
 	stamp := uint64(0)
 	if it, ok := a.store.Peek(TypesKey); ok {
 		stamp = it.Stamp
 		old, err := DecodeTypes(it.Value)
-		if err == nil && len(old) == len(shape) {
+		if err == nil && len(old) == len(types) {
 			same := true
 			for i := range old {
-				o, n := old[i], shape[i]
+				o, n := old[i], types[i]
 				if o.Name != n.Name || o.Cap != n.Cap || o.CacheGB != n.CacheGB || o.FetchGBs != n.FetchGBs || strings.Join(o.Zones, " ") != strings.Join(n.Zones, " ") {
 					same = false
 				}
@@ -213,7 +213,7 @@
 		}
 	}
 	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Stamp: a.token}, {Path: TypesKey, Stamp: stamp}},
-		Apply: []wire.Change{{Write: TypesKey, Value: EncodeTypes(shape)}}}
+		Apply: []wire.Change{{Write: TypesKey, Value: EncodeTypes(types)}}}
 	a.store.Commit(t, true, func(r statestore.Result, _ uint64, _ []string) {
 		if r != statestore.OK {
 			a.typesAt = a.env.Now() - 28*time.Second
--- a/internal/fleet/headroom.go
+++ b/internal/fleet/headroom.go
@@ -8,8 +8,9 @@
 	"brooklb/internal/model"
 )
 
-// RecordArrival records a new job for the estimates of the headroom and the inflow. Prompt:
-// its class has an objective for the start; within: it is promised by its team's guarantee.
+// RecordArrival records a new job for the estimates of the headroom and the inflow. prompt
+// says that its class has an objective for the start, within that its team's guarantee covers
+// it.
 func (a *Actor) RecordArrival(j *ledger.Job, prompt, within bool) {
 	if a.countedJobs[j.Spec.ID] {
 		return
--- a/internal/fleet/inflow.go
+++ b/internal/fleet/inflow.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// retaken estimates, for each priority, which part of the capacity freed by running tasks
-// is taken again by arriving work of that priority.
+// retaken estimates, for each priority, which fraction of the capacity freed by running tasks
+// arriving work of that priority takes again.
 func (a *Actor) retaken() (r placement.Retaken) {
 	var busy placement.Retaken
 	for _, j := range a.led.Order() {
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -8,8 +8,8 @@
 	"brooklb/internal/wire"
 )
 
-// maxListed is how many machines a list may have. An endless list would fill the memory; no
-// machine counts as missing from it.
+// maxListed is how many machines a list may have. An endless list would fill the memory. No
+// machine counts as missing from a list that exceeds the limit.
 const maxListed = 100_000
 
 func (a *Actor) list() {
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -43,15 +43,15 @@
 
 // Rent projects when the unplaced jobs will start on the machines that are rented or
 // requested. It rents where a job would never start, where the start is too late for an
-// aim that a new machine would meet, or where it is later than the start on a new
+// objective that a new machine would meet, or where it is later than the start on a new
 // machine by more than Config.WaitTolerance.
-func (a *Actor) Rent(unplaced []*ledger.Job, v *placement.View, aims *placement.Objectives, claims placement.Claims) {
+func (a *Actor) Rent(unplaced []*ledger.Job, v *placement.View, objectives *placement.Objectives, claims placement.Claims) {
 	if len(a.led.Types) == 0 || !a.hasList {
 		return
 	}
 	now := v.Now
 	byZone := map[string]int{}
-	use, units := map[string]model.Resources{}, map[*units.Resource]int{}
+	use, unitsInUse := map[string]model.Resources{}, map[*units.Resource]int{}
 	limit := a.maxChecks()
 	jobLimit := min(len(unplaced), limit/max(1, len(v.Machines)))
 	wants := make([]int, jobLimit)
@@ -109,14 +109,14 @@
 		if checks += len(pr.Machines); total >= maxRent || checks > limit {
 			break
 		}
-		n := a.led.AllotUnits(j, wants[i], units)
+		n := a.led.AllotUnits(j, wants[i], unitsInUse)
 		boot, fits := a.startDelay(j)
 		if j.Spec.Kind == model.Gang {
 			if n == 0 {
 				continue
 			}
 			at, where, ok := pr.FindGang(j, n, "")
-			if fits && a.worthRenting(j, now, at, ok, now+boot, aims, claims[j] == placement.Entitled) {
+			if fits && a.worthRenting(j, now, at, ok, now+boot, objectives, claims[j] == placement.Entitled) {
 				zone := ""
 				have := pr.CountReadyByZone(j, now+boot+5*time.Second)
 				sum := 0
@@ -148,7 +148,7 @@
 		q := pr.MachineQueue(j)
 		for tasks := 0; n > 0 && tasks < maxTasksPerJob; tasks, n = tasks+1, n-1 {
 			at, ok := q.First()
-			if fits && total < maxRent && a.worthRenting(j, now, at, ok, now+boot, aims, claims[j] == placement.Entitled) {
+			if fits && total < maxRent && a.worthRenting(j, now, at, ok, now+boot, objectives, claims[j] == placement.Entitled) {
 				if s := plan(j, ""); s != nil {
 					q.Add(s)
 				}
@@ -159,7 +159,7 @@
 			markWanted(q.Book())
 		}
 	}
-	// The headroom is idle machines kept for work that is yet to arrive.
+	// The headroom consists of idle machines kept for work that is yet to arrive.
 	for head := a.headroom(); ready+booting+total < head; {
 		if plan(nil, "") == nil {
 			break
@@ -242,16 +242,16 @@
 	return best, ok
 }
 
-// worthRenting reports whether to rent a machine for a job that would run at onNew on a new
-// machine and at onExisting on the others; ok is false if it would never run on those.
-func (a *Actor) worthRenting(j *ledger.Job, now, onExisting time.Duration, ok bool, onNew time.Duration, aims *placement.Objectives, within bool) bool {
+// worthRenting reports whether to rent a machine for a job that would start at onNew on a new
+// machine and at onExisting on the others; ok is false if it would never start on those.
+func (a *Actor) worthRenting(j *ledger.Job, now, onExisting time.Duration, ok bool, onNew time.Duration, objectives *placement.Objectives, within bool) bool {
 	if !ok {
 		return true
 	}
 	if onExisting <= onNew {
 		return false
 	}
-	for _, t := range aims.StartBy(j, within) {
+	for _, t := range objectives.StartBy(j, within) {
 		if onExisting > t && onNew <= t {
 			return true
 		}
@@ -310,7 +310,7 @@
 				}
 				cost := t.Price
 				if spot {
-					// Spot machines are withdrawn at times, with work on them.
+					// Spot machines are reclaimed at times, with work on them.
 					cost = t.SpotCost * 1.2
 				}
 				// The time of a slow boot is paid for, too.
--- a/internal/fleet/return.go
+++ b/internal/fleet/return.go
@@ -9,7 +9,7 @@
 	"brooklb/internal/wire"
 )
 
-// Return has a machine returned to the cloud. The tasks on it are over once the cloud has
+// Return has a machine returned to the cloud. The tasks on it count as gone once the cloud has
 // confirmed the return.
 func (a *Actor) Return(m *ledger.Machine, why string) {
 	if _, ok := a.toReturn[m.Name]; ok {
@@ -80,7 +80,7 @@
 	for _, m := range a.led.MachinesByName() {
 		if m.Leaving {
 			if _, ok := a.toReturn[m.Name]; !ok && len(m.Placements) == 0 {
-				a.Return(m, "set aside")
+				a.Return(m, "leaving, no tasks left")
 			}
 			continue
 		}
@@ -88,8 +88,8 @@
 		case m.Reported:
 			silent := now - max(m.LastReport, a.began+5*time.Second)
 			// A hung machine may resume, and its tasks wait until then. They can start
-			// elsewhere once it is returned. A zone of which most is silent is taken
-			// to be partitioned from us, with machines that go on working.
+			// elsewhere once it is returned. If most machines of a zone are silent, the
+			// zone is probably partitioned from this node and its machines go on working.
 			if silent > maxSilence && 2*alive[m.Zone] >= total[m.Zone] && alive[m.Zone] > 0 && (len(m.Placements) > 0 || silent > 2*maxSilence) {
 				a.Return(m, "silent")
 				continue
@@ -114,8 +114,8 @@
 	}
 	if t := a.led.Types[m.Type]; t != nil {
 		// Where all boots are slow, a replacement would come up no sooner. The time is
-		// limited, since machines that never come up make boots look the slower the
-		// longer they are waited for.
+		// limited, since machines that never come up raise the estimated boot time for
+		// as long as they are kept.
 		nominal := time.Duration(t.BootS * float64(time.Second))
 		return abandonFactor*min(max(nominal, a.expectedBoot(m.Type, m.Zone)), maxBootFactor*nominal) + 10*time.Second
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	keep := a.headroom()
-	// The more expensive machines, which are not spot, go first, then those with the fewest images.
+	// Machines that are not spot are more expensive and go first, then those with the fewest images.
 	sort.Slice(ms, func(i, j int) bool {
 		x, y := ms[i], ms[j]
 		if x.Spot != y.Spot {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -306,8 +306,8 @@
 	return out
 }
 
-// TestSender checks that orders of one turn are sent together, and that each caller gets its
-// outcome once.
+// TestSender checks that orders of one turn of the event loop are sent together, and that each
+// caller gets its outcome once.
 func TestSender(t *testing.T) {
 	l := newTestSender()
 	l.order("w1")
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// reportTimeout is how long a report is queued while there is no leader. It is refused
-	// then, so that the worker, which waits 4 s for the answer, tries another controller.
+	// reportTimeout is how long a report may be queued, for example while there is no leader.
+	// It is then refused, so that the worker, which waits 4 s for the answer, tries another
+	// controller.
 	reportTimeout = 3400 * time.Millisecond
-	// batchTimeout is how long the answer to a message is waited for.
+	// batchTimeout limits the wait for another controller's answer to a message.
 	batchTimeout = 1500 * time.Millisecond
-	// orderTimeout is how long a worker's answer to an order is waited for.
+	// orderTimeout limits the wait for a worker's answer to an order.
 	orderTimeout = 2500 * time.Millisecond
 	// batchInterval is the shortest time between two messages. Reports that arrive in the
 	// meantime share one, so that the leader doesn't receive a message for each report.
@@ -37,8 +38,8 @@
 	inFlight    int
 	nextID      uint64
 	sendDelayed bool
-	// generation counts the pauses of the process. Messages sent before the last one are
-	// given up.
+	// generation counts the pauses of the process. Answers to messages and orders that were
+	// sent before the last pause are ignored.
 	generation int
 	// OnRefused is called with each report that could not be passed on.
 	OnRefused func(body []byte)
@@ -68,21 +69,21 @@
 	}
 	f.nextID++
 	// The body of the request is valid only until its handler returns.
-	w := &pendingReport{f.nextID, append([]byte(nil), body...), f.env.Now() + reportTimeout, reply}
-	f.enqueue(w)
+	report := &pendingReport{f.nextID, append([]byte(nil), body...), f.env.Now() + reportTimeout, reply}
+	f.enqueue(report)
 	f.trySend()
 }
 
-func (f *Forwarder) enqueue(w *pendingReport) {
-	f.queue = append(f.queue, w)
-	f.queuedBytes += len(w.body)
+func (f *Forwarder) enqueue(report *pendingReport) {
+	f.queue = append(f.queue, report)
+	f.queuedBytes += len(report.body)
 }
 
-func (f *Forwarder) refuse(w *pendingReport) {
+func (f *Forwarder) refuse(report *pendingReport) {
 	if f.OnRefused != nil {
-		f.OnRefused(w.body)
+		f.OnRefused(report.body)
 	}
-	w.reply(refusal)
+	report.reply(refusal)
 }
 
 // AbortPending gives up what is queued or under way after a pause of the process, since the
@@ -91,8 +92,8 @@
 	f.generation++
 	f.inFlight = 0
 	f.results = nil
-	for _, w := range f.takeQueue() {
-		w.reply(refusal)
+	for _, report := range f.takeQueue() {
+		report.reply(refusal)
 	}
 }
 
@@ -105,8 +106,8 @@
 
 // Drain has all queued reports answered by the node itself, which leads now.
 func (f *Forwarder) Drain(answer func(body []byte, reply func(httpx.Response))) {
-	for _, w := range f.takeQueue() {
-		answer(w.body, w.reply)
+	for _, report := range f.takeQueue() {
+		answer(report.body, report.reply)
 	}
 }
 
@@ -142,10 +143,10 @@
 func (f *Forwarder) refuseExpired() {
 	now := f.env.Now()
 	for len(f.queue) > 0 && now >= f.queue[0].deadline {
-		w := f.queue[0]
+		report := f.queue[0]
 		f.queue = f.queue[1:]
-		f.queuedBytes -= len(w.body)
-		f.refuse(w)
+		f.queuedBytes -= len(report.body)
+		f.refuse(report)
 	}
 }
 
@@ -160,12 +161,12 @@
 	}
 	var sent []*pendingReport
 	for len(f.queue) > 0 && (size == 0 || size+len(f.queue[0].body) < maxBatchBytes) {
-		w := f.queue[0]
+		report := f.queue[0]
 		f.queue = f.queue[1:]
-		f.queuedBytes -= len(w.body)
-		size += len(w.body)
-		sent = append(sent, w)
-		batch.Reports = append(batch.Reports, Report{w.id, w.body})
+		f.queuedBytes -= len(report.body)
+		size += len(report.body)
+		sent = append(sent, report)
+		batch.Reports = append(batch.Reports, Report{report.id, report.body})
 	}
 	f.inFlight++
 	generation := f.generation
@@ -180,9 +181,9 @@
 	}})
 }
 
-func (f *Forwarder) refuseAll(ws []*pendingReport) {
-	for _, w := range ws {
-		f.refuse(w)
+func (f *Forwarder) refuseAll(reports []*pendingReport) {
+	for _, report := range reports {
+		f.refuse(report)
 	}
 }
 
@@ -197,8 +198,8 @@
 	switch {
 	case a.Unsent(), a.Err == nil && a.Status != 200, m != nil && !m.Leading:
 		f.queue = append(sent, f.queue...)
-		for _, w := range sent {
-			f.queuedBytes += len(w.body)
+		for _, report := range sent {
+			f.queuedBytes += len(report.body)
 		}
 		f.delaySending(retryDelay)
 		return
@@ -210,13 +211,13 @@
 	for i := range m.Answers {
 		byID[m.Answers[i].ID] = &m.Answers[i]
 	}
-	for _, w := range sent {
-		x := byID[w.id]
+	for _, report := range sent {
+		x := byID[report.id]
 		if x == nil || x.Status < 200 || x.Status > 599 {
-			f.refuse(w)
+			f.refuse(report)
 			continue
 		}
-		w.reply(httpx.Response{Status: x.Status, RetryAfter: x.RetryAfter, Body: x.Body})
+		report.reply(httpx.Response{Status: x.Status, RetryAfter: x.RetryAfter, Body: x.Body})
 	}
 }
 
@@ -234,8 +235,8 @@
 
 func (f *Forwarder) sendOrder(o Order) {
 	generation := f.generation
-	// Reports are spread where sockets are scarce, so no connection is kept for the worker's
-	// next order.
+	// Reports go through all controllers where sockets are scarce, so no connection is kept
+	// for the worker's next order.
 	f.env.Call(actor.Call{Addr: o.Addr, Method: "POST", Path: o.Path, Body: o.Body, Timeout: orderTimeout, DisableKeepAlive: true, Done: func(a actor.Answer) {
 		if f.generation != generation {
 			return // the leader has timed it out
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -20,7 +20,7 @@
 	OrdersPath  = "/peer/orders"  // from the leader
 )
 
-// Version is the version of the messages. A node's status says which one it takes.
+// Version is the version of the messages. A node's status says which one it reads.
 const Version = 1
 
 // ContentType is the content type of all messages.
@@ -41,7 +41,7 @@
 	Body []byte `cbor:"2,keyasint"`
 }
 
-// Outcome says what is known about the execution of an order.
+// Outcome says whether the worker received an order and answered it.
 type Outcome uint8
 
 // The outcomes of an order.
@@ -59,7 +59,7 @@
 	Body    []byte  `cbor:"4,keyasint,omitempty"`
 }
 
-// Batch is what a controller passes on to the leader.
+// Batch is a message to the leader with the reports and results that a controller passes on.
 type Batch struct {
 	V       int      `cbor:"1,keyasint"`
 	From    string   `cbor:"2,keyasint"`
@@ -83,7 +83,7 @@
 	Answers []Answer `cbor:"3,keyasint,omitempty"`
 }
 
-// Order is a request to a worker.
+// Order is a leader's request to a worker.
 type Order struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Addr string `cbor:"2,keyasint"`
@@ -91,7 +91,7 @@
 	Body []byte `cbor:"4,keyasint"`
 }
 
-// Orders are the orders that a controller is to send for the leader.
+// Orders is a message with the orders that a controller is to send for the leader.
 type Orders struct {
 	V      int     `cbor:"1,keyasint"`
 	Orders []Order `cbor:"2,keyasint"`
--- a/internal/forward/spread.go
+++ b/internal/forward/spread.go
@@ -56,7 +56,7 @@
 )
 
 // Overloaded reports whether a controller with the given number of workers should redirect
-// further ones. All lists every controller that takes reports, including itself.
+// further ones. all lists every controller that takes reports, including that one.
 func Overloaded(own int, all []Receiver) bool {
 	return float64(own) > maxShareFactor*equalShare(all)+shareAllowance
 }
--- a/internal/intake/allocation.go
+++ b/internal/intake/allocation.go
@@ -42,7 +42,7 @@
 
 // Allocator divides a limit, which is a rate, between the nodes while its owner leads.
 type Allocator struct {
-	total  float64 // of the limit, what the nodes other than ours may hold together
+	total  float64 // the part of the limit that the nodes other than ours may hold together
 	began  time.Duration
 	number uint64
 	nodes  []string
@@ -132,9 +132,10 @@
 	return a.base() + state.maxRate(now)
 }
 
-// Divide divides the limit anew between all nodes, including ours, by their demand. It
-// returns the rate of our node, and what is allocated to the others: their rates beyond the
-// base rate, as far as nobody else may still hold them. What nobody wants isn't allocated.
+// Divide divides the limit between all nodes, including ours, by their demand. It returns
+// our node's rate and the allocations of the others, which are rates beyond the base rate. An
+// allocation grows only by what no other node may still hold. Capacity that exceeds the demand
+// isn't allocated.
 func (a *Allocator) Divide(now time.Duration, limit, ownDemand float64) (ownRate float64, rates map[string]float64, number uint64) {
 	shares := []*fair.Share{{Demand: withMargin(ownDemand)}}
 	var ordered []*nodeState
--- a/internal/intake/allocation_test.go
+++ b/internal/intake/allocation_test.go
@@ -81,7 +81,7 @@
 }
 
 // omitted says which conditions of the protocol are left out.
-type omitted struct{ echo, blackout, earlier, order, acknowledgement bool }
+type omitted struct{ echo, expiryWait, earlier, order, acknowledgement bool }
 
 const (
 	modelTotal = 10.0
@@ -121,7 +121,7 @@
 		if m.secondTermAt == 0 && m.now >= modelStep && m.now <= 2*modelStep {
 			step(func(c *protocolState) {
 				began := c.now
-				if w.blackout { // it ends early once all nodes have acknowledged the new leader
+				if w.expiryWait { // the wait ends early if all nodes have acknowledged the new leader
 					began -= time.Minute
 				}
 				c.secondTermAt, c.allocators[1] = c.now, NewAllocator(began, nodeNames, modelTotal)
@@ -189,8 +189,9 @@
 }
 
 // TestAllocationModel explores the allocation protocol exhaustively: two nodes, two leaders,
-// messages that are lost, late or overtaken, and expiry. What the nodes hold together must
-// never exceed the limit, and must exceed it if a condition of the protocol is left out.
+// messages that are lost, late or overtaken, and expiry. The sum of the rates that the nodes
+// hold must never exceed the limit, and must exceed it if a condition of the protocol is left
+// out.
 func TestAllocationModel(t *testing.T) {
 	n, broken := explore(omitted{})
 	if broken != nil {
@@ -200,7 +201,7 @@
 		t.Errorf("only %d states", n)
 	}
 	t.Logf("%d states", n)
-	for name, w := range map[string]omitted{"echo": {echo: true}, "blackout": {blackout: true}, "earlier allocations": {earlier: true}, "order": {order: true}, "acknowledging the new leader": {acknowledgement: true}} {
+	for name, w := range map[string]omitted{"echo": {echo: true}, "waiting until earlier leaders' allocations have expired": {expiryWait: true}, "earlier allocations": {earlier: true}, "order": {order: true}, "acknowledging the new leader": {acknowledgement: true}} {
 		if n, broken := explore(w); broken == nil {
 			t.Errorf("without the condition %q the limit holds in all %d states", name, n)
 		}
@@ -227,7 +228,7 @@
 	}
 }
 
-// TestUnusedAllocations guards against allocations that nobody uses. If only one node has
+// TestUnusedAllocations guards against allocations that stay unused. If only one node has
 // demand, it must hold nearly all of the limit within 5 s of its first demand.
 func TestUnusedAllocations(t *testing.T) {
 	nodes := []string{"a", "b", "c", "d", "e", "f"}
@@ -283,7 +284,7 @@
 		_, rates, _ := a.Divide(now, 12, 0)
 		a.Sent(now)
 		if sum := rates["a"] + rates["b"] + 2*a.base(); sum > 8+1e-9 || rates["c"] != 0 {
-			t.Fatalf("%v is allocated beside a fixed share of 4", rates)
+			t.Fatalf("%v is allocated in addition to a fixed share of 4", rates)
 		}
 	}
 	a.ObserveNode("c", true, 0, 0)
--- a/internal/intake/fairqueue.go
+++ b/internal/intake/fairqueue.go
@@ -19,18 +19,18 @@
 	// share one.
 	maxClassesPerTeam = 32
 	// burstCredit is how many turns a class or team that used less than its share may have
-	// at once. Single users submit in bursts, too, and without it a flood of other
-	// submissions had them refused for seconds.
+	// at once. Single users submit in bursts, too, and without the credit a flood of other
+	// submissions caused theirs to be refused for seconds.
 	burstCredit = 6
-	// classIdleTimeout is after how long without submissions a class may be forgotten.
+	// classIdleTimeout is the time without submissions after which a class may be forgotten.
 	classIdleTimeout = 2 * time.Minute
 	// maxRetryAfter is the longest time after which a user is asked to retry.
 	maxRetryAfter = 30 * time.Second
 	// rateWindow is the time over which rates are averaged.
 	rateWindow = 3 * time.Second
 	// Where more of a class arrives than can be admitted, its smallest submissions are
-	// admitted first, so that as many as possible are. On average, one turn in exemptEvery
-	// is for the exempt submission, which keeps its place whatever its size.
+	// admitted first, so that as many as possible are served. On average, one turn in
+	// exemptEvery is for the exempt submission, which keeps its place regardless of its size.
 	exemptEvery = 8
 	// otherClasses names the queue that the other classes of a team share. No class has
 	// this name.
@@ -56,7 +56,7 @@
 type entry struct {
 	queuedAt time.Duration
 	size     float64 // the amount of work that it asks for
-	exempt   bool    // keeps its place in the queue, whatever its size
+	exempt   bool    // keeps its place in the queue, regardless of its size
 	onAdmit  func()
 	onRefuse func(after int)
 }
@@ -90,9 +90,9 @@
 	weight func(team string) float64
 	// TryAcquire takes the capacity that one submission needs, if it is available.
 	TryAcquire func() bool
-	// Rate returns how many submissions a second there is capacity for in any case; nil:
-	// unknown. After an outage nothing has been admitted for a while, and with the measured
-	// rate alone users who were refused then were asked to retry after half a minute.
+	// Rate returns how many submissions a second there is capacity for at least; nil:
+	// unknown. After an outage the measured rate of admission is low, and with that rate alone
+	// refused users were asked to retry after half a minute.
 	Rate                 func() float64
 	teams                map[string]*team
 	order                []*team // in the order in which they were first seen
@@ -101,7 +101,7 @@
 	virtualClock         float64 // the virtual time of the teams
 	// Refused counts the refused submissions.
 	Refused int
-	// BlockedClasses are the classes with more unfinished work than their part of what the
+	// BlockedClasses are the classes with more unfinished work than their share of what the
 	// controllers can hold. The leader determines them; none of their submissions is admitted.
 	BlockedClasses map[fair.Key]bool
 }
--- a/internal/intake/fairqueue_test.go
+++ b/internal/intake/fairqueue_test.go
@@ -18,14 +18,14 @@
 	now, last time.Duration
 	rate      float64
 	tokens    float64
-	visits    []visit
+	attempts  []attempt
 	admitted  map[fair.Key]int
 	waited    map[fair.Key]time.Duration // the longest time from the first try to the admission
 	abandoned map[fair.Key]int           // users who gave up after a minute
 	tries     int
 }
 
-type visit struct {
+type attempt struct {
 	at, first time.Duration
 	key       fair.Key
 }
@@ -46,53 +46,54 @@
 	return s
 }
 
-// addVisits schedules submissions of a class at a rate between two times.
-func (s *simulation) addVisits(k fair.Key, rate float64, from, to time.Duration) {
+// addAttempts schedules submissions of a class at a rate between two times.
+func (s *simulation) addAttempts(k fair.Key, rate float64, from, to time.Duration) {
 	for at := from; at < to; at += time.Duration(s.rng.ExpFloat64() / rate * float64(time.Second)) {
-		s.visits = append(s.visits, visit{at, at, k})
+		s.attempts = append(s.attempts, attempt{at, at, k})
 	}
 }
 
 func (s *simulation) runUntil(until time.Duration) {
 	for ; s.now < until; s.now += 20 * time.Millisecond {
-		slices.SortStableFunc(s.visits, func(a, b visit) int { return cmp.Compare(a.at, b.at) })
+		slices.SortStableFunc(s.attempts, func(a, b attempt) int { return cmp.Compare(a.at, b.at) })
 		n := 0
-		for n < len(s.visits) && s.visits[n].at <= s.now {
+		for n < len(s.attempts) && s.attempts[n].at <= s.now {
 			n++
 		}
-		due := slices.Clone(s.visits[:n])
-		s.visits = slices.Delete(s.visits, 0, n)
+		due := slices.Clone(s.attempts[:n])
+		s.attempts = slices.Delete(s.attempts, 0, n)
 		for _, v := range due {
 			s.tries++
 			s.queue.Offer(s.now, v.key, 1, func() {
 				s.admitted[v.key]++
 				s.waited[v.key] = max(s.waited[v.key], s.now-v.first)
 			}, func(after int) {
-				back := s.now + max(time.Second, time.Duration(after)*time.Second)
+				retryAt := s.now + max(time.Second, time.Duration(after)*time.Second)
 				if after < 1 || after > 30 {
 					panic(fmt.Sprint("asked to retry in ", after))
 				}
-				if back-v.first > time.Minute {
+				if retryAt-v.first > time.Minute {
 					s.abandoned[v.key]++
 					return
 				}
-				s.visits = append(s.visits, visit{back, v.first, v.key})
+				s.attempts = append(s.attempts, attempt{retryAt, v.first, v.key})
 			})
 		}
 		s.queue.Dispatch(s.now)
 	}
 }
 
-// TestQueueIsFair floods a queue with one class of one team. Others, who need at most a third of their share, must be
-// admitted within a second, the capacity must be used, and refused users must not retry more than a few times.
+// TestQueueIsFair floods a queue with one class of one team. Others, who need at most a third
+// of their share, must be admitted within a second, the capacity must be used, and refused
+// users must not retry more than a few times.
 func TestQueueIsFair(t *testing.T) {
 	for seed := range uint64(6) {
 		s := newSimulation(seed, 6)
 		flood, same, other := fair.Key{Team: "a", Class: "flood"}, fair.Key{Team: "a", Class: "x"}, fair.Key{Team: "b", Class: "y"}
-		s.addVisits(flood, 80, 20*time.Second, 140*time.Second)
-		s.addVisits(same, 0.5, 0, 200*time.Second)
-		s.addVisits(other, 1, 0, 200*time.Second)
-		n := len(s.visits)
+		s.addAttempts(flood, 80, 20*time.Second, 140*time.Second)
+		s.addAttempts(same, 0.5, 0, 200*time.Second)
+		s.addAttempts(other, 1, 0, 200*time.Second)
+		n := len(s.attempts)
 		s.runUntil(200 * time.Second)
 		if w := max(s.waited[same], s.waited[other]); w > time.Second || s.abandoned[same]+s.abandoned[other] > 0 {
 			t.Errorf("seed %d: other classes waited for up to %v, %d of their users gave up", seed, w, s.abandoned[same]+s.abandoned[other])
@@ -112,10 +113,10 @@
 func TestInventedClasses(t *testing.T) {
 	s := newSimulation(1, 6)
 	for i := range 10000 {
-		s.visits = append(s.visits, visit{time.Duration(i) * 10 * time.Millisecond, time.Duration(i) * 10 * time.Millisecond, fair.Key{Team: "a", Class: fmt.Sprint(i)}})
+		s.attempts = append(s.attempts, attempt{time.Duration(i) * 10 * time.Millisecond, time.Duration(i) * 10 * time.Millisecond, fair.Key{Team: "a", Class: fmt.Sprint(i)}})
 	}
 	honest := fair.Key{Team: "b", Class: "y"}
-	s.addVisits(honest, 10, 0, 100*time.Second)
+	s.addAttempts(honest, 10, 0, 100*time.Second)
 	s.runUntil(100 * time.Second)
 	others := 0
 	for k, n := range s.admitted {
@@ -136,8 +137,8 @@
 	s := newSimulation(2, 5)
 	k, other := fair.Key{Team: "a", Class: "x"}, fair.Key{Team: "a", Class: "y"}
 	s.queue.BlockedClasses = map[fair.Key]bool{k: true}
-	s.addVisits(k, 1, 0, 20*time.Second)
-	s.addVisits(other, 1, 0, 20*time.Second)
+	s.addAttempts(k, 1, 0, 20*time.Second)
+	s.addAttempts(other, 1, 0, 20*time.Second)
 	s.runUntil(21 * time.Second)
 	if s.admitted[k] != 0 || s.admitted[other] == 0 {
 		t.Errorf("admitted %v", s.admitted)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -298,7 +298,7 @@
 	if silent >= stateCutAfter && n.peers.OthersReachState(stateCutAfter) {
 		return false
 	}
-	return silent < isolatedAfter || !n.peers.OthersReachState(isolatedAfter) && n.peers.HeardRecently()
+	return silent < isolatedAfter || !n.peers.OthersReachState(isolatedAfter) && n.peers.HasRecentStatus()
 }
 
 func (n *Node) liveJob(id string) (done, running int, why string, ok bool) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,8 @@
 // Package peer exchanges the statuses of the controllers, in CBOR: how long ago the
 // state service answered them, and whether they lead. It elects no leader. It lets a
 // node distinguish an outage of the state service, which affects all nodes, from a
-// refusal of this node alone, and lets a leader that hears of a newer one step down at
-// once.
+// refusal of this node alone, and lets a leader step down as soon as it learns of a
+// newer one.
 package peer
 
 import (
@@ -29,7 +29,8 @@
 	StateAgeMS int64  `cbor:"3,keyasint"` // ms since the state service's last definite answer
 	Leading    bool   `cbor:"4,keyasint"`
 	Token      uint64 `cbor:"5,keyasint,omitempty"` // of the term in which it leads
-	// SeekingWorkers is how many workers recently came to the node looking for the leader.
+	// SeekingWorkers is how many workers recently reported to the node while looking for the
+	// leader.
 	SeekingWorkers int `cbor:"6,keyasint,omitempty"`
 	// JobFormat is the newest format of job records that its program reads, 0 for
 	// programs that don't report it.
@@ -133,8 +134,7 @@
 	return b
 }
 
-// recordStatus records a status, which has to be that of the peer with the label, "": any
-// peer.
+// recordStatus records a status. It must be that of the peer with the label; "": of any peer.
 func (a *Actor) recordStatus(b []byte, label string) error {
 	var s Status
 	if err := cbor.Unmarshal(b, &s); err != nil {
@@ -219,8 +219,8 @@
 	return label
 }
 
-// SeekingWorkers returns how many workers came to the peers looking for the leader,
-// according to the recent statuses; complete: the statuses of all peers are recent.
+// SeekingWorkers returns how many workers reported to the peers while looking for the leader,
+// according to the recent statuses. complete says that the statuses of all peers are recent.
 func (a *Actor) SeekingWorkers() (n int, complete bool) {
 	recent := 0
 	for _, k := range a.statuses {
@@ -243,8 +243,8 @@
 	return true
 }
 
-// HeardRecently reports whether any peer has a recent status.
-func (a *Actor) HeardRecently() bool {
+// HasRecentStatus reports whether any peer has a recent status.
+func (a *Actor) HasRecentStatus() bool {
 	for _, k := range a.statuses {
 		if a.env.Now()-k.receivedAt <= statusTTL {
 			return true
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -11,16 +11,16 @@
 
 // RelayPath is the path on which a node passes on a user's request that it can't answer
 // itself, because the state service refuses just this node or isn't reachable from it.
-// The user would otherwise be asked to retry after a second or more, and then come to the
-// same node.
+// The user would otherwise be asked to retry after a second or more, and could then reach
+// the same node again.
 const RelayPath = "/peer/user"
 
 const (
 	relayTimeout = 1200 * time.Millisecond
 	// maxRelays is how many requests may be under way to peers; further ones are refused.
 	maxRelays = 40
-	// relayMaxStateAge is within which time a peer must have had an answer from the state
-	// service to be passed a request.
+	// relayMaxStateAge limits the time since the last answer that a peer got from the state
+	// service. Requests are passed on only to peers within this limit.
 	relayMaxStateAge = 2500 * time.Millisecond
 )
 
--- a/internal/statestore/budget.go
+++ b/internal/statestore/budget.go
@@ -3,15 +3,15 @@
 // SetLeading sets the node's share of the budgets; the leader's is the largest.
 func (s *Store) SetLeading(on bool) {
 	s.leading = on
-	part := usableShare
+	share := usableShare
 	switch {
 	case s.cfg.Nodes <= 1:
 	case on:
-		part = leaderShare
+		share = leaderShare
 	default:
-		part = min(followerShare, (usableShare-leaderShare)/float64(s.cfg.Nodes-1))
+		share = min(followerShare, (usableShare-leaderShare)/float64(s.cfg.Nodes-1))
 	}
-	s.rps = s.cfg.RPS * part
+	s.rps = s.cfg.RPS * share
 	s.requests.SetRate(s.rps, max(4, s.rps))
 	s.NoBacklog = false
 	s.SetSubmissionRate(s.FollowerWriteRate() / float64(max(1, s.cfg.Nodes)))
@@ -24,10 +24,10 @@
 	s.submissions.SetRate(rate, max(submissionBurst, rate))
 }
 
-// TotalWriteRate is how many changes a second all nodes together may make.
+// TotalWriteRate returns how many changes a second all nodes together may make.
 func (s *Store) TotalWriteRate() float64 { return usableShare * s.cfg.WriteRPS }
 
-// FollowerWriteRate is how many changes a second all followers together may make.
+// FollowerWriteRate returns how many changes a second all followers together may make.
 func (s *Store) FollowerWriteRate() float64 {
 	if s.cfg.Nodes <= 1 {
 		return 0
@@ -35,8 +35,8 @@
 	return followersWriteShare * s.cfg.WriteRPS
 }
 
-// refreshWrites updates the write bucket and returns its level. If the rate rises, the time
-// since the last update counts at the old rate, so that the lower rate applies.
+// refreshWrites updates the write bucket and returns its level. The time since the last update
+// counts at the old or the new rate, whichever is lower.
 func (s *Store) refreshWrites() float64 {
 	now := s.env.Now()
 	w := s.TotalWriteRate()
@@ -52,9 +52,9 @@
 	return s.writes.Level(now)
 }
 
-// SubmissionRate is how many submissions a second the write budget allows. It is at least
-// a follower's equal part of FollowerWriteRate, because after a change of leader the nodes have
-// less only until the new leader assigns them their parts.
+// SubmissionRate returns how many submissions a second the write budget allows. It is at least
+// a follower's equal share of FollowerWriteRate: after a change of leader the nodes have less,
+// but only until the new leader sends them allocations.
 func (s *Store) SubmissionRate() float64 {
 	if s.cfg.Nodes <= 1 {
 		return s.WriteRate()
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// answerTimeout is the timeout for an answer at the service's present speed.
+// answerTimeout returns the timeout for an answer at the service's present speed.
 func (s *Store) answerTimeout(usual, longest time.Duration) time.Duration {
 	return min(longest, time.Duration(s.timeoutFactor*float64(usual)))
 }
@@ -78,7 +78,7 @@
 			s.env.Log().Error("state service rejected a transaction as malformed", "body", string(a.Body))
 			done(Malformed, 0, nil)
 		default:
-			s.env.Log().Error("invalid response to a transaction", "status", a.Status, "err", err)
+			s.env.Log().Error("invalid response from the state service to a transaction", "status", a.Status, "err", err)
 			done(Unknown, 0, nil)
 		}
 	})
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -63,7 +63,7 @@
 		s.readsInFlight--
 		defer s.sendReads()
 		if sent < s.resumedAt {
-			// The answer dates from before a pause. Other nodes may have reported a newer
+			// The answer may date from before a pause. Other nodes may have reported a newer
 			// value to users since.
 			a.Err = actor.ErrNoAnswer
 		}
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -18,7 +18,7 @@
 // Prefix is the common prefix of all keys of this program.
 const Prefix = "b/"
 
-// Result of a transaction.
+// Result is the result of a transaction.
 type Result uint8
 
 // The results. After Unknown the transaction may have been applied, or may be
@@ -115,7 +115,7 @@
 	minLeaderWatchInterval                        = 40 * time.Millisecond
 	minReadInterval                               = 20 * time.Millisecond // between two batches of reads
 	// Shares of the request budget. The leader writes most; the followers divide the
-	// rest, whatever their number.
+	// rest equally.
 	leaderShare   = 0.46
 	followerShare = 0.25 // at most
 	usableShare   = 0.95 // of each budget, by all nodes together
@@ -126,7 +126,7 @@
 	ownWorkShare    = 0.75
 	submissionBurst = 4
 	// Requests for users leave this part of the node's request budget to its lease and
-	// its watch. Watches and reads use no more than their parts.
+	// its watch. Watches and reads use no more than their shares.
 	userReserve = 0.15
 	watchShare  = 0.35
 	readShare   = 0.4
@@ -148,13 +148,13 @@
 // Config returns the store's configuration.
 func (s *Store) Config() Config { return s.cfg }
 
-// interval is the time between requests of one kind that may use the given part of the
+// interval returns the time between requests of one kind that may use the given share of the
 // node's request rate.
-func (s *Store) interval(part float64, least time.Duration) time.Duration {
-	return max(least, time.Duration(float64(time.Second)/(s.rps*part)))
+func (s *Store) interval(share float64, least time.Duration) time.Duration {
+	return max(least, time.Duration(float64(time.Second)/(s.rps*share)))
 }
 
-// reserve is how many requests must stay in the bucket after a request for a user.
+// reserve returns how many requests must stay in the bucket after a request for a user.
 func (s *Store) reserve() float64 { return min(3, s.rps*userReserve) }
 
 // Subscribe registers a function that is called for every change of the replica. The item
@@ -168,10 +168,10 @@
 // Synced reports whether the replica has been read completely once.
 func (s *Store) Synced() bool { return s.synced }
 
-// Epoch is the revision up to which the replica is complete.
+// Epoch returns the revision up to which the replica is complete.
 func (s *Store) Epoch() uint64 { return s.epoch }
 
-// LastContact is the time of the last definite answer of the state service.
+// LastContact returns the time of the last definite answer of the state service.
 func (s *Store) LastContact() time.Duration { return s.lastContact }
 
 // Paused is called after the process was paused. It fails all waiting reads at once,
@@ -214,16 +214,16 @@
 	s.waits = append(s.waits, wait{epoch, f})
 }
 
-// WriteRoom is how many changes the write budget allows now, at most WriteBurst.
+// WriteRoom returns how many changes the write budget allows now, at most WriteBurst.
 func (s *Store) WriteRoom() float64 { return s.refreshWrites() }
 
-// WriteRate is how many changes a second this node may make at present.
+// WriteRate returns how many changes a second this node may make at present.
 func (s *Store) WriteRate() float64 {
 	s.refreshWrites()
 	return s.writes.Rate()
 }
 
-// WriteBurst is the maximum of WriteRoom.
+// WriteBurst returns the maximum of WriteRoom.
 func (s *Store) WriteBurst() float64 { return s.writes.Burst() }
 
 func (s *Store) call(method, path string, body []byte, timeout time.Duration, done func(actor.Answer)) {
@@ -347,7 +347,7 @@
 		}
 		n, err := wire.DecodeWatchResponse(a.Body)
 		if a.Status != 200 || err != nil {
-			s.env.Log().Error("invalid response to a watch", "status", a.Status, "err", err)
+			s.env.Log().Error("invalid response from the state service to a watch", "status", a.Status, "err", err)
 			retry(time.Second)
 			return
 		}
--- a/internal/workers/leases.go
+++ b/internal/workers/leases.go
@@ -7,13 +7,13 @@
 	"brooklb/internal/model"
 )
 
-// handleUnlisted decides whether a placement that the newest report doesn't list is lost.
+// handleUnlisted decides whether a placement is lost that the newest report doesn't list.
 //
 // The worker waits at most 4 s for the answer to a report, and reports again only after it
 // has received the answer or timed out. A start in the last answer was therefore executed
 // before the next report, or never will be. The answer to a command is independent of
 // that: it proves nothing about a start in an answer that may still be in flight.
-func (a *Actor) handleUnlisted(m *ledger.Machine, p *ledger.Placement, came reportOrigin) {
+func (a *Actor) handleUnlisted(m *ledger.Machine, p *ledger.Placement, origin reportOrigin) {
 	switch {
 	case p.Session != 0 && p.Session < m.Session:
 		// A later session of the worker has none of the earlier session's tasks.
@@ -22,7 +22,7 @@
 		a.led.MarkLost(p, "vanished from the worker's report")
 	case p.Session != 0:
 		// A start was sent that the worker hasn't executed yet.
-		if p.Stopping && !a.startMayArrive(m, p) && (came == unsolicited || p.StartInAnswerAt == 0 || a.env.Now()-p.StartInAnswerAt > answerWindow) {
+		if p.Stopping && !a.startMayArrive(m, p) && (origin == unsolicited || p.StartInAnswerAt == 0 || a.env.Now()-p.StartInAnswerAt > answerWindow) {
 			a.led.MarkLost(p, model.CauseStopped)
 		}
 	case m.Token >= a.token && (p.Stopping || p.Inherited && p.Job.Spec.Kind == model.Gang):
@@ -43,20 +43,20 @@
 	return ok
 }
 
-// LeaseExpiry is the time from which no task on the machine can be running any more if
-// the machine stays silent.
+// LeaseExpiry returns the time from which no task on the machine can be running any more
+// if the machine stays silent.
 func (a *Actor) LeaseExpiry(m *ledger.Machine) time.Duration {
 	last := a.began + a.cfg.Hold // the last time at which an earlier leader answered
 	if m.TokenSeen {
 		// An earlier leader may have answered the worker until it saw the current token.
 		// The worker may have seen the token in a command, before its first report in this
-		// term: without TokenAt all its tasks counted as lost at once.
+		// term: without TokenSeenAt all its tasks counted as lost at once.
 		last = max(m.LastAnswered, m.TokenSeenAt)
 	} else {
 		last = max(last, m.LastAnswered)
 	}
 	// A new session, which may be known only from the answer to a command, has a lease of its
-	// own from its beginning. Without SessionAt, tasks that were started in it after a long
+	// own from its beginning. Without SessionSeenAt, tasks that were started in it after a long
 	// outage counted as lost because of the previous session's silence.
 	last = max(last, m.SessionSeenAt)
 	return last + time.Duration(float64(a.cfg.Lease)*clockDrift) + 1500*time.Millisecond
@@ -72,8 +72,8 @@
 	}
 }
 
-// Tick calls OnStuckStart if a start is stuck, and marks the tasks of machines as lost
-// whose workers' leases have expired.
+// Tick calls OnStuckStart if a start is stuck. It marks a machine's tasks as lost after its
+// worker's lease has expired.
 func (a *Actor) Tick() {
 	now := a.env.Now()
 	for _, m := range a.led.MachinesByName() {
@@ -97,9 +97,9 @@
 // task was stopped.
 const stuckTimeout = 30 * time.Second
 
-// hasStuckStart reports whether the machine's worker reports and doesn't have a stopped
-// task, but a start of it that was sent directly got no answer and may still arrive.
-// Its resources would never become free; a higher token makes the start void.
+// hasStuckStart reports whether a stopped task is missing from the machine's reports while a
+// direct start of it that got no answer may still arrive. The task's resources would never
+// become free; a higher token makes the start void.
 func (a *Actor) hasStuckStart(m *ledger.Machine) bool {
 	if len(m.UnconfirmedStarts) == 0 {
 		return false
@@ -116,13 +116,14 @@
 	return false
 }
 
-// voidBy is until when a worker may be answered to which a start is in flight, if the job
-// of that start is found to be cancelled now. The user learned of the cancellation no earlier
-// than the last proof of leading, and a start that arrives later than a lease after the last
-// answer finds another session. The bound is therefore Config.Hold after the proof, the same
-// as for a leader without a proof. If it counted from when the leader learned of the
-// cancellation, a start could be executed after cancel_s in an outage that began meanwhile.
-func (a *Actor) voidBy() time.Duration {
+// startDeadline returns until when the leader may answer a worker to which a start is in
+// flight, if it learns now that the job of that start was cancelled. The user learned of the
+// cancellation no earlier than the last proof of leading, and a start that arrives later than a
+// lease after the last answer finds another session. The bound is therefore Config.Hold after
+// the proof, as for a leader without a proof, and at most stuckTimeout. If it counted from when
+// the leader learned of the cancellation, a start could be executed later than
+// workers.cancel_s after the cancellation, in an outage that began meanwhile.
+func (a *Actor) startDeadline() time.Duration {
 	proven := a.env.Now()
 	if a.Proven != nil {
 		proven = a.Proven()
--- a/internal/workers/leases_test.go
+++ b/internal/workers/leases_test.go
@@ -26,12 +26,12 @@
 	return e, a, p
 }
 
-// newReport is a report of machine m in its first session.
+// newReport returns a report of machine m in its first session.
 func newReport(token, seq uint64, tasks ...model.TaskReport) *model.Report {
 	return &model.Report{Machine: "m", Addr: "x", Type: "g", Zone: "z", Session: 1, Seq: seq, Token: token, Tasks: tasks}
 }
 
-// taskReport is a report of attempt 1 of job j-1's task 0.
+// taskReport returns a report of attempt 1 of job j-1's task 0.
 func taskReport(phase model.Phase, cause string) model.TaskReport {
 	return model.TaskReport{Job: "j-1", Attempt: 1, Phase: phase, Cause: cause}
 }
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -56,8 +56,8 @@
 				continue // decided when the worker has seen the current token
 			}
 			if p.Inherited && p.Session == 0 && a.led.OverLimit(p) {
-				// The last leader may have known that the task had ended, and have given what
-				// it held to another task, before the end was written. Both are recorded as
+				// The last leader may have known that the task had ended, and placed another
+				// task on its resources, before the end was written. Both are recorded as
 				// placed, and starting both would exceed the limit.
 				a.led.MarkLost(p, model.CauseMachineLost)
 				continue
@@ -80,10 +80,10 @@
 func orderRank(o model.Op) int { return [...]int{2, 1, 0}[o] }
 
 const (
-	// A duplicate of a start that was executed and answered may arrive within this time.
-	// Until then the worker remembers the attempt even if the task is done. A worker that
-	// had forgotten it executed the duplicate: while the next attempt ran on another
-	// machine, while the team was at its limit, or long after the job was cancelled.
+	// duplicateWindow is how long after the answer to a direct start a duplicate of it may
+	// arrive. In that time the worker remembers the attempt even if the task is done. A
+	// worker that had forgotten it executed the duplicate: while the next attempt ran on
+	// another machine, while the team was at its limit, or long after the job was cancelled.
 	duplicateWindow = 5 * time.Minute
 )
 
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -11,8 +11,9 @@
 	"brooklb/internal/model"
 )
 
-// Config holds durations from the settings: of a worker's lease, for which a leader without
-// a proof of leading still answers workers (Hold), and between two reports of a worker.
+// Config holds durations from the settings: of a worker's lease, of the time for which a
+// leader still answers workers after its last proof of leading (Hold), and between two reports
+// of a worker.
 type Config struct {
 	Lease, Hold time.Duration
 	Report      time.Duration
@@ -31,9 +32,9 @@
 	tokensSent     int // workers that were sent the term's token
 	// Callbacks of the term.
 	OnHigherToken func()                  // a worker has seen a higher token
-	OnFirstReport func(m *ledger.Machine) // a machine reports for the first time
+	OnFirstReport func(m *ledger.Machine) // a machine reports for the first time in the term
 	OnStuckStart  func()                  // only a higher token can void a start
-	// Proven is the last time at which this leader certainly knew of all cancellations;
+	// Proven returns the last time at which this leader certainly knew of all cancellations;
 	// nil: always now.
 	Proven func() time.Duration
 	// StartsPaused reports whether no task may be started now, even if its placement is
@@ -62,17 +63,17 @@
 	}
 	led.OnStop = func(p *ledger.Placement) { a.Push(p.Host) }
 	led.OnCancelled = func(j *ledger.Job) {
-		by := a.voidBy()
+		deadline := a.startDeadline()
 		for i := range j.Tasks {
 			if p := j.Tasks[i].CurrentPlacement; p != nil {
-				p.StartDeadline = by
+				p.StartDeadline = deadline
 			}
 		}
 	}
 	return a
 }
 
-// Began is the start time of the term.
+// Began returns the start time of the term.
 func (a *Actor) Began() time.Duration { return a.began }
 
 // Close ends the term. The actor gives no more orders.
@@ -91,7 +92,7 @@
 	now := a.env.Now()
 	if !a.applyReport(r, unsolicited) {
 		// The report is older than the last known state, because it was delayed or
-		// duplicated. Nobody receives the answer to a duplicate. A report that was overtaken
+		// duplicated. No worker receives the answer to a duplicate. A report that was overtaken
 		// by the answer to a command was sent before that answer, and renews the lease only
 		// up to then. When the lease counted from now, duplicates kept dead machines' tasks
 		// from being started elsewhere.
@@ -125,8 +126,8 @@
 // lists may have ended, and tasks that it doesn't list or calls ended may have been started
 // since, even as the same attempt (of a gang that was placed again). From such a report
 // the leader only concludes that tasks are done. The worker's next report, half a second
-// after the first answer, settles the rest.
-func (a *Actor) applyReport(r *model.Report, came reportOrigin) bool {
+// after the first answer, shows the rest.
+func (a *Actor) applyReport(r *model.Report, origin reportOrigin) bool {
 	if a.led.Returned[r.Machine] {
 		return false
 	}
@@ -154,7 +155,7 @@
 	if r.Token > a.token && a.OnHigherToken != nil {
 		a.OnHigherToken()
 	}
-	m.HasFreshReport = m.HasFreshReport || came == solicited || r.Token >= a.token
+	m.HasFreshReport = m.HasFreshReport || origin == solicited || r.Token >= a.token
 	notice := m.HasFreshReport && r.InterruptionNotice && !m.InterruptionNotice
 	m.InterruptionNotice = m.HasFreshReport && r.InterruptionNotice
 	m.EndedTasks, m.UnexpectedTasks = m.EndedTasks[:0], m.UnexpectedTasks[:0]
@@ -202,7 +203,7 @@
 	if m.HasFreshReport {
 		for _, p := range m.PlacementsCopy() {
 			if !listed[p] && p.Durable && !p.Gone {
-				a.handleUnlisted(m, p, came)
+				a.handleUnlisted(m, p, origin)
 			}
 		}
 	}
