--- a/cmd/brooklb/state.go
+++ b/cmd/brooklb/state.go
@@ -23,14 +23,14 @@
 // stateClient sends requests to the state service at a limited rate.
 type stateClient struct {
 	addr     string
-	patience time.Duration
+	retryFor time.Duration
 	rps      float64
 	last     time.Time
 }
 
 func (state *stateClient) register(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVar(&state.addr, "state", "", "address of the state service")
-	c.Flags().DurationVar(&state.patience, "for", time.Minute, "how long to retry requests that fail or are refused temporarily")
+	c.Flags().DurationVar(&state.retryFor, "for", time.Minute, "how long to retry requests that fail or are refused temporarily")
 	c.Flags().Float64Var(&state.rps, "rps", 5, "requests per second: the part of the service's limit that the controllers don't need")
 	return c
 }
@@ -45,11 +45,11 @@
 	return nil
 }
 
-// Ask sends a request to the state service, as package snapshot needs it.
+// Ask implements snapshot.Asker.
 func (state *stateClient) Ask(method, path string, body []byte) (int, []byte, error) {
 	time.Sleep(time.Until(state.last.Add(time.Duration(float64(time.Second) / state.rps))))
 	state.last = time.Now()
-	return (&client.Client{Nodes: []string{state.addr}, RetryFor: state.patience}).Do(method, path, body)
+	return (&client.Client{Nodes: []string{state.addr}, RetryFor: state.retryFor}).Do(method, path, body)
 }
 
 func loadSnapshot(file string) (*snapshot.Snapshot, error) {
@@ -316,7 +316,7 @@
 			}); err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), "restored: start the controllers; nothing is started until all earlier leases have run out")
+			fmt.Fprintln(c.OutOrStdout(), "restored: start the controllers; nothing is started until all earlier leases have expired")
 			return nil
 		}})
 	c.Flags().IntVar(&ops, "ops", 8, "changes in a transaction, up to the service's limit")
--- a/cmd/brooklb/user.go
+++ b/cmd/brooklb/user.go
@@ -31,19 +31,19 @@
 // clientFlags are the flags of the commands that send requests to the service.
 type clientFlags struct {
 	nodes     string
-	patience  time.Duration
+	retryFor  time.Duration
 	printJSON bool
 }
 
 func (flags *clientFlags) register(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVar(&flags.nodes, "to", "127.0.0.1:8080", "addresses of the service's nodes, separated by commas")
-	c.Flags().DurationVar(&flags.patience, "for", time.Minute, "how long to retry requests that fail or are refused temporarily")
+	c.Flags().DurationVar(&flags.retryFor, "for", time.Minute, "how long to retry requests that fail or are refused temporarily")
 	c.Flags().BoolVar(&flags.printJSON, "json", false, "print the service's JSON answer")
 	return c
 }
 
 func (flags *clientFlags) client() *client.Client {
-	return &client.Client{Nodes: strings.Split(flags.nodes, ","), RetryFor: flags.patience}
+	return &client.Client{Nodes: strings.Split(flags.nodes, ","), RetryFor: flags.retryFor}
 }
 
 // request sends a request. It returns an error if the status is neither 200 nor 201.
@@ -204,12 +204,12 @@
 			fmt.Fprintln(out, string(b))
 			return
 		}
-		d := o.Admission
-		if d == nil { // the node runs an older version
-			d = &wire.AdmissionView{}
+		admission := o.Admission
+		if admission == nil { // the node runs an older version
+			admission = &wire.AdmissionView{}
 		}
 		fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%.0f s\t%.1f s\t%.1f\t%.1f\t%.1f\t%d\n", o.Node, o.Healthy, o.Leading, o.Token, o.LedS, o.StateSilentS,
-			d.Changes, d.Wanted, d.Admitted, d.Refused)
+			admission.Changes, admission.Wanted, admission.Admitted, admission.Refused)
 		if o.Leading && (leading == nil || o.Token > leading.Token) {
 			leading = &o
 		}
@@ -230,8 +230,8 @@
 		for _, c := range o.Classes {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\n", c.Class, c.Team, c.Jobs, c.Floor, c.Waiting, c.Placed)
 		}
-		if d := o.Admission; d != nil && (d.AdmitFraction < 1 || len(d.ClosedClasses) > 0) {
-			fmt.Fprintf(w, "\noverload: %.0f%% of what could be taken in is handed out, writes are %.1f s behind, shut: %s\n", 100*d.AdmitFraction, d.WriteBacklogS, strings.Join(d.ClosedClasses, ", "))
+		if admission := o.Admission; admission != nil && (admission.AdmitFraction < 1 || len(admission.ClosedClasses) > 0) {
+			fmt.Fprintf(w, "\noverload: %.0f%% of what could be taken in is handed out, writes are %.1f s behind, shut: %s\n", 100*admission.AdmitFraction, admission.WriteBacklogS, strings.Join(admission.ClosedClasses, ", "))
 		}
 		fmt.Fprintf(w, "\n%d jobs, %d waiting with %d tasks, %d at fault themselves\n", o.Jobs.Open, o.Jobs.Waiting, o.Jobs.WaitingTasks, o.Jobs.AtFault)
 		if len(o.Queue) > 0 {
--- a/internal/dev/sockets.go
+++ b/internal/dev/sockets.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// Send implements sim.Outside. It sends a worker's or a user's request to a controller.
+// Send implements sim.Transport. It sends a worker's or a user's request to a controller.
 func (c *Cluster) Send(from string, call actor.Call) {
 	to := ""
 	for _, k := range c.controllers {
@@ -221,14 +221,14 @@
 	}()
 }
 
-// Up implements sim.Outside. It starts the server of a machine's worker.
+// Up implements sim.Transport. It starts the server of a machine's worker.
 func (c *Cluster) Up(m *sim.Machine) {
 	if err := c.serve(m.Name, m.Addr, c.simulatedHandler(m.Name, "")); err != nil {
 		c.cfg.Log.Error("worker can't listen", "machine", m.Name, "err", err)
 	}
 }
 
-// Gone implements sim.Outside. It closes the connections of a machine that is gone.
+// Gone implements sim.Transport. It closes the connections of a machine that is gone.
 func (c *Cluster) Gone(m *sim.Machine) {
 	c.stopServing(m.Name)
 	if l := c.links[m.Name]; l != nil {
@@ -237,7 +237,7 @@
 	}
 }
 
-// Listen implements sim.Outside. It starts the HTTP server of a service's instance.
+// Listen implements sim.Transport. It starts the HTTP server of a service's instance.
 func (c *Cluster) Listen(m *sim.Machine, instance string, port int) {
 	if c.world.RefusesConnections(m, instance) {
 		return
@@ -271,5 +271,5 @@
 	}
 }
 
-// Unlisten implements sim.Outside. It stops the HTTP server of a service's instance.
+// Unlisten implements sim.Transport. It stops the HTTP server of a service's instance.
 func (c *Cluster) Unlisten(m *sim.Machine, instance string) { c.stopServing(m.Name + " " + instance) }
--- a/internal/httpx/once_test.go
+++ b/internal/httpx/once_test.go
@@ -55,8 +55,8 @@
 	return last
 }
 
-// TestOnce checks calls with Once set, which health checks use: each call opens and closes
-// its own connection, and a refused connection is reported as actor.ErrRefused.
+// TestOnce checks calls with DisableKeepAlive, which health checks use: each call opens and
+// closes its own connection, and a refused connection is reported as actor.ErrRefused.
 func TestOnce(t *testing.T) {
 	open := make(chan http.ConnState, 100)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(204) }))
--- a/internal/rollout/check_test.go
+++ b/internal/rollout/check_test.go
@@ -98,7 +98,7 @@
 		{"refused, machine silent", actor.Answer{Err: refused}, time.Millisecond, true, false, false},
 		{"no answer", actor.Answer{Err: actor.ErrNoAnswer}, 2 * time.Second, false, false, true},
 		{"no answer, machine silent", actor.Answer{Err: actor.ErrNoAnswer}, 2 * time.Second, true, false, false},
-		{"no way there", actor.Answer{Err: actor.ErrNotSent}, 2 * time.Second, false, false, false},
+		{"not sent", actor.Answer{Err: actor.ErrNotSent}, 2 * time.Second, false, false, false},
 	} {
 		e, ch, j := newTestChecker(1, 1, testHealth())
 		e.answer = func(actor.Call) (actor.Answer, time.Duration) { return c.a, c.after }
@@ -165,7 +165,7 @@
 		}
 	}
 	if seen < 4000 {
-		t.Errorf("%d of 4096 instances were not checked within two minutes, want at most 96", 4096-seen)
+		t.Errorf("%d of 4096 instances were not checked within 140 s, want at most 96", 4096-seen)
 	}
 	t.Logf("%.0f checks a second of 4096 instances, each every %.0f s, %d sockets at most", rate, c.fullRound().Seconds(), e.peakInFlight)
 }
--- a/internal/rollout/handler.go
+++ b/internal/rollout/handler.go
@@ -23,7 +23,7 @@
 	// Check reports why a job can never run. known is false while the machine types
 	// aren't known.
 	Check func(s *model.Spec) (known bool, err error)
-	// RolloutsSupported reports whether all controllers heard from lately can read the
+	// RolloutsSupported reports whether all controllers with a recent status can read the
 	// records of roll-outs. During an upgrade some can't.
 	RolloutsSupported func() bool
 	// Live returns the leader's view of a service's roll-out and why it doesn't advance,
@@ -72,12 +72,12 @@
 	case verb == wire.VerbStart:
 		h.start(name, r.Body, reply)
 	case slices.Contains([]string{wire.VerbPause, wire.VerbResume, wire.VerbAbort, wire.VerbWithdraw}, verb):
-		asked, err := wire.DecodeRequestInfo(r.Body)
+		info, err := wire.DecodeRequestInfo(r.Body)
 		if err != nil {
 			reply(answer.Refuse(400, 0, "%v", err))
 			return true
 		}
-		h.requestChange(name, verb, asked, 4, reply)
+		h.requestChange(name, verb, info, 4, reply)
 	default:
 		reply(answer.Refuse(404, 0, "no such path"))
 	}
@@ -97,7 +97,7 @@
 		}
 		rec, err := Decode(name, it.Value)
 		if err != nil {
-			h.env.Log().Error("service record can't be read; it is left unchanged", "key", Key(name), "err", err)
+			h.env.Log().Error("service record can't be read, left unchanged", "key", Key(name), "err", err)
 			reply(answer.Refuse(503, 5, "the record of service %s can't be read", name))
 			return
 		}
@@ -180,7 +180,7 @@
 			}
 			p, err := decodePast(HistoryKey(name, n), it.Value)
 			if err != nil {
-				h.env.Log().Error("record of an ended roll-out can't be read; it is left unchanged", "err", err)
+				h.env.Log().Error("record of an ended roll-out can't be read, left unchanged", "err", err)
 				out.Rollouts = append(out.Rollouts, wire.RolloutView{ID: fmt.Sprintf("%s/%d", name, n), Why: "its record can't be read"})
 				continue
 			}
@@ -214,14 +214,14 @@
 }
 
 // requestChange pauses, resumes or aborts a roll-out, or withdraws the service.
-func (h *Handler) requestChange(name, verb string, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
+func (h *Handler) requestChange(name, verb string, info wire.RequestInfo, tries int, reply func(httpx.Response)) {
 	h.read(name, reply, func(rec *Record, stamp uint64) {
 		if rec == nil {
 			reply(answer.Refuse(404, 0, "no service %s is known", name))
 			return
 		}
 		if verb == wire.VerbWithdraw {
-			h.withdraw(name, rec, stamp, asked, tries, reply)
+			h.withdraw(name, rec, stamp, info, tries, reply)
 			return
 		}
 		if rec.Rollout == nil {
@@ -237,13 +237,13 @@
 				reply(answer.Refuse(409, 0, "roll-out %s is %s, only its way forward can be paused", rec.id(name), c.Rollout.State))
 				return
 			}
-			c.Rollout.Paused, c.Rollout.Why = true, clip(withReason("paused", asked))
+			c.Rollout.Paused, c.Rollout.Why = true, clip(withReason("paused", info))
 		case wire.VerbResume:
 			switch {
 			case c.Rollout.State == Stuck:
 				c.Rollout.State, c.Rollout.Ends, c.Rollout.Evidence, c.Rollout.SinceMS = Rolling, 0, nil, now
 				// The new number resets the leader's failure counts.
-				c.Number, c.Rollout.Why = c.Number+1, clip(withReason("taken up again", asked))
+				c.Number, c.Rollout.Why = c.Number+1, clip(withReason("taken up again", info))
 			case !c.Rollout.Paused:
 				reply(h.statusResponse(name, rec))
 				return
@@ -259,16 +259,16 @@
 				reply(h.statusResponse(name, rec))
 				return
 			}
-			c.Rollout.State, c.Rollout.Paused, c.Rollout.SinceMS, c.Rollout.Why = RollingBack, false, now, clip(withReason("aborted", asked))
+			c.Rollout.State, c.Rollout.Paused, c.Rollout.SinceMS, c.Rollout.Why = RollingBack, false, now, clip(withReason("aborted", info))
 		}
 		t := wire.Txn{When: []wire.Cond{{Path: Key(name), Stamp: stamp}}, Apply: []wire.Change{{Write: Key(name), Value: c.encode()}}}
-		h.commitChange(name, verb, asked, t, c, tries, reply)
+		h.commitChange(name, verb, info, t, c, tries, reply)
 	})
 }
 
-func (h *Handler) commitChange(name, verb string, asked wire.RequestInfo, t wire.Txn, c *Record, tries int, reply func(httpx.Response)) {
+func (h *Handler) commitChange(name, verb string, info wire.RequestInfo, t wire.Txn, c *Record, tries int, reply func(httpx.Response)) {
 	h.commit(t, tries, reply, func() {
-		h.env.Log().Info("roll-out or service changed by a user's request", "id", c.id(name), "verb", verb, "by", asked.By, "why", asked.Why)
+		h.env.Log().Info("roll-out or service changed by a user's request", "id", c.id(name), "verb", verb, "by", info.By, "why", info.Why)
 		reply(h.statusResponse(name, c))
 	}, func() {
 		// The leader changed the record meanwhile, or an earlier attempt of this write
@@ -277,27 +277,27 @@
 			reply(answer.Refuse(503, 1, "the roll-out changes too often just now, come back"))
 			return
 		}
-		h.requestChange(name, verb, asked, tries-1, reply)
+		h.requestChange(name, verb, info, tries-1, reply)
 	})
 }
 
-func withReason(what string, a wire.RequestInfo) string {
-	if a.By != "" {
-		what += " by " + a.By
+func withReason(what string, info wire.RequestInfo) string {
+	if info.By != "" {
+		what += " by " + info.By
 	}
-	if a.Why != "" {
-		what += ": " + a.Why
+	if info.Why != "" {
+		what += ": " + info.Why
 	}
 	return what
 }
 
 // withdraw ends a service: all its versions, and its roll-out if there is one.
-func (h *Handler) withdraw(name string, rec *Record, stamp uint64, asked wire.RequestInfo, tries int, reply func(httpx.Response)) {
+func (h *Handler) withdraw(name string, rec *Record, stamp uint64, info wire.RequestInfo, tries int, reply func(httpx.Response)) {
 	if rec.Ended {
 		reply(h.statusResponse(name, rec))
 		return
 	}
-	why := withReason("service "+name+" withdrawn", asked)
+	why := withReason("service "+name+" withdrawn", info)
 	var p *pastRollout
 	if rec.Rollout != nil {
 		p = rec.history(Withdrawn, why, h.env.Wall().UnixMilli())
@@ -311,5 +311,5 @@
 	c.Current, c.New, c.Rollout, c.Ended = nil, nil, nil, true
 	c.Nonce = fmt.Sprintf("%x", h.env.Rand().Uint64())
 	t := wire.Txn{When: append(when, wire.Cond{Path: Key(name), Stamp: stamp}), Apply: append(apply, wire.Change{Write: Key(name), Value: c.encode()})}
-	h.commitChange(name, wire.VerbWithdraw, asked, t, c, tries, reply)
+	h.commitChange(name, wire.VerbWithdraw, info, t, c, tries, reply)
 }
--- a/internal/rollout/health.go
+++ b/internal/rollout/health.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// maxInFlight is how many checks run at the same time: each takes a socket.
+	// maxInFlight is the largest number of concurrent checks: each takes a socket.
 	maxInFlight = 64
-	// checkCost is the processor time of a check: half of what client and server take
-	// together in httpx.BenchmarkOnce, plus a margin of 50%. Checks use at most
-	// checkShare of the processor time that the process may use.
+	// checkCost is the processor time of a check, including a margin of 50%. A call in
+	// httpx.BenchmarkOnce takes twice as long without the margin, because it includes the
+	// server. Checks use at most checkShare of the processor time that the process may use.
 	checkCost  = 200 * time.Microsecond
 	checkShare = 0.2
 	// jitter is the part of the interval by which checks are spread, so that they
@@ -207,12 +207,12 @@
 	}
 	c.inFlight++
 	gen, sent := c.generation, c.env.Now()
-	lastHeard := x.placement.Host.LastReport
+	lastReport := x.placement.Host.LastReport
 	c.env.Call(actor.Call{Addr: addr, Method: "GET", Path: x.path(), DisableKeepAlive: true, Timeout: time.Duration(x.spec.TimeoutS * float64(time.Second)),
 		Done: func(a actor.Answer) {
 			c.inFlight--
 			if !x.removed && gen == c.generation {
-				x.recordResult(c, a, sent, lastHeard)
+				x.recordResult(c, a, sent, lastReport)
 			}
 			reschedule()
 			if c.inFlight == maxInFlight-1 {
@@ -223,12 +223,12 @@
 
 // recordResult records the outcome of a check. A failure that the network or the
 // machine may have caused is ignored.
-func (x *checkedInstance) recordResult(c *checker, a actor.Answer, sent, lastHeard time.Duration) {
+func (x *checkedInstance) recordResult(c *checker, a actor.Answer, sent, lastReport time.Duration) {
 	now := c.env.Now()
 	took := now - sent
 	// If the machine's worker reports on time, the network works, and a missing answer
 	// is a failure of the instance.
-	machineReports := now-max(lastHeard, x.placement.Host.LastReport) <= c.reportInterval+c.reportInterval/2
+	machineReports := now-max(lastReport, x.placement.Host.LastReport) <= c.reportInterval+c.reportInterval/2
 	why := ""
 	switch {
 	case a.Err == nil && a.Status >= 200 && a.Status < 300:
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -33,7 +33,7 @@
 	OnDeposed func()
 }
 
-// service is a service's record and what the leader knows about its roll-out.
+// service is a service's record and the leader's state of its roll-out.
 type service struct {
 	name    string
 	record  *Record
@@ -74,7 +74,7 @@
 // Close ends the term.
 func (a *Actor) Close() { a.stopped = true; a.checker.timer.Stop() }
 
-// Paused reports that the process was paused for gap, which doesn't count as time
+// Paused is called after the process was paused for gap, which doesn't count as time
 // without progress.
 func (a *Actor) Paused(gap time.Duration) {
 	a.checker.discardInFlight()
@@ -99,7 +99,7 @@
 	}
 	rec, err := Decode(name, it.Value)
 	if err != nil {
-		a.env.Log().Error("service record can't be read; it is left unchanged and no instance of the service is started or stopped", "key", key, "err", err)
+		a.env.Log().Error("service record can't be read, left unchanged; no instance of the service is started or stopped", "key", key, "err", err)
 		return
 	}
 	if s == nil {
--- a/internal/rollout/write.go
+++ b/internal/rollout/write.go
@@ -70,7 +70,7 @@
 			a.reread(s, failed)
 		case r == statestore.Malformed:
 			// This is a fault of the controller; an immediate retry would be refused, too.
-			a.env.Log().Error("state service refused a roll-out's write as malformed", "service", s.name)
+			a.env.Log().Error("state service rejected a roll-out's write as malformed", "service", s.name)
 			a.env.After(30*tickInterval, func() { s.writing = false })
 		default:
 			s.writing = false
@@ -78,7 +78,7 @@
 	})
 }
 
-// reread fetches keys that others have changed, so that the replica has them.
+// reread fetches keys that other processes have changed, so that the replica has them.
 func (a *Actor) reread(s *service, keys []string) {
 	if len(keys) == 0 {
 		s.writing = false
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -238,11 +238,11 @@
 				ends = "beyond twice the size"
 			}
 		}
-		along := "not measured"
+		joint := "not measured"
 		if x, ok := s.jointMetricEstimate(m, planned, 1); ok {
-			along = formatNumber(x)
+			joint = formatNumber(x)
 		}
-		t.row(name, cmp.Or(m.unit, "count"), formatNumber(s.metricEstimate(m, planned)), s.extrapolation(m.value, planned), along, simulated, budget, ends)
+		t.row(name, cmp.Or(m.unit, "count"), formatNumber(s.metricEstimate(m, planned)), s.extrapolation(m.value, planned), joint, simulated, budget, ends)
 	}
 	return t.b.String()
 }
@@ -255,8 +255,8 @@
 	attemptRetentionS = 300 // how long a worker keeps a directly started attempt
 )
 
-// timeTable shows what can't be estimated from sizes: the growth over time, and the latency of
-// urgent starts.
+// timeTable shows figures that don't follow from sizes: the growth over time, and the latency
+// of urgent starts.
 func (s *Slopes) timeTable(p *Profile) string {
 	var t table
 	t.head("figure", "value", "from")
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -75,7 +75,7 @@
 	MemMB      float64 `json:"mem_mb"`
 }
 
-// ConfigResult is how configuration changes came into force.
+// ConfigResult describes how configuration changes came into force.
 type ConfigResult struct {
 	Changes   int     `json:"changes"`
 	InForce   Latency `json:"in_force_at_the_last_controller"` // of the changes that were followed
@@ -118,7 +118,7 @@
 // missingConfig names the configuration that can't change while controllers run.
 const missingConfig = "team limits and guarantees: missing, they are read when a controller starts"
 
-// newResult returns the result with what the measurements hold; the caller adds the rest.
+// newResult returns a result with the values of the measurements; the caller adds the rest.
 func newResult(mode Mode, p *Profile, fraction float64, seed uint64, m *measurements) *Result {
 	r := &Result{Mode: mode, Fraction: fraction, Seed: seed, Profile: p, Seconds: p.Run.MeasureS, StartsPerS: m.startsPerS(),
 		Urgent: m.urgent.latency(), UrgentRuns: m.urgentRuns.latency(), Batch: m.batch.latency(), Gangs: m.gangs.latency(), Accepted: m.accepted.latency(),
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -95,7 +95,7 @@
 	requests    int
 	changes     int
 	refused     int
-	census      sim.Totals
+	totals      sim.Totals
 }
 
 // work waits for the cluster to settle, then measures.
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	r.cluster.Do(func(w *sim.World) {
-		s.leader, s.census = w.State.LeaderName(), w.Totals()
+		s.leader, s.totals = w.State.LeaderName(), w.Totals()
 		for _, n := range w.State.Requests {
 			s.requests += n
 		}
@@ -193,7 +193,7 @@
 func (r *loopbackRun) summarize(first, last *sample) {
 	x := newResult(Loopback, r.profile, r.options.Fraction, r.options.Seed, r.measurements)
 	span := last.at.Sub(first.at).Seconds()
-	x.AtStart, x.AtEnd = first.census, last.census
+	x.AtStart, x.AtEnd = first.totals, last.totals
 	x.LeaderStayed = first.leader == last.leader && first.leader != "" && len(r.injected) == 0
 	x.Roles = []RoleResult{roleResult(RoleLeader, first, last, span), roleResult(RoleOther, first, last, span)}
 	sums := map[dev.Interface]dev.Totals{}
@@ -202,8 +202,8 @@
 	}
 	state := sums[dev.State]
 	x.State = StateResult{Requests: round(float64(last.requests-first.requests)/span, 1), Changes: round(float64(last.changes-first.changes)/span, 1),
-		Refused: round(float64(last.refused-first.refused)/span, 2), In: round(float64(state.FromController)/span, 0), Out: round(float64(state.ToController)/span, 0), Keys: last.census.Keys}
-	workers := float64(max(1, last.census.Workers))
+		Refused: round(float64(last.refused-first.refused)/span, 2), In: round(float64(state.FromController)/span, 0), Out: round(float64(state.ToController)/span, 0), Keys: last.totals.Keys}
+	workers := float64(max(1, last.totals.Workers))
 	bytes := sums[dev.Reports].Add(sums[dev.Orders])
 	x.StandInsCPU = round((last.standIns.CPU-first.standIns.CPU).Seconds()/span, 3)
 	x.Worker = WorkerResult{BytesPerS: round(float64(bytes.ToController+bytes.FromController)/span/workers, 0),
--- a/internal/scale/simulated.go
+++ b/internal/scale/simulated.go
@@ -97,17 +97,17 @@
 // simulatedSample is the usage at one moment of simulated time, counted since the start.
 type simulatedSample struct {
 	leader   string
-	busy     []time.Duration
+	cpuTimes []time.Duration
 	messages map[dev.TrafficKey]int
-	census   sim.Totals
+	totals   sim.Totals
 	changes  int
 	refused  int
 }
 
 func (r *simulatedRun) sample() simulatedSample {
-	s := simulatedSample{leader: r.world.State.LeaderName(), messages: map[dev.TrafficKey]int{}, census: r.world.Totals(), changes: r.world.State.Changes, refused: r.world.State.Limited}
+	s := simulatedSample{leader: r.world.State.LeaderName(), messages: map[dev.TrafficKey]int{}, totals: r.world.Totals(), changes: r.world.State.Changes, refused: r.world.State.Limited}
 	for i := range r.world.Settings {
-		s.busy = append(s.busy, r.world.CPUTime(i))
+		s.cpuTimes = append(s.cpuTimes, r.world.CPUTime(i))
 	}
 	for k, n := range r.messages {
 		s.messages[k] = n
@@ -115,11 +115,11 @@
 	return s
 }
 
-// summarize adds what the samples at the start and the end of measuring show to the result.
+// summarize sets the result's usage from the samples at the start and the end of measuring.
 func (r *simulatedRun) summarize(x *Result, first, last simulatedSample) {
 	span := r.profile.Run.MeasureS
-	x.AtStart, x.AtEnd = first.census, last.census
-	x.State = StateResult{Changes: round(float64(last.changes-first.changes)/span, 1), Refused: round(float64(last.refused-first.refused)/span, 2), Keys: last.census.Keys}
+	x.AtStart, x.AtEnd = first.totals, last.totals
+	x.State = StateResult{Changes: round(float64(last.changes-first.changes)/span, 1), Refused: round(float64(last.refused-first.refused)/span, 2), Keys: last.totals.Keys}
 	for _, role := range []Role{RoleLeader, RoleOther} {
 		y := RoleResult{Role: role, Interfaces: map[dev.Interface]Rates{}}
 		for i, s := range r.world.Settings {
@@ -127,7 +127,7 @@
 				continue
 			}
 			y.Processes++
-			cores := (last.busy[i] - first.busy[i]).Seconds() / span
+			cores := (last.cpuTimes[i] - first.cpuTimes[i]).Seconds() / span
 			y.CPU, y.CPUMax = y.CPU+cores, max(y.CPUMax, cores)
 		}
 		n := float64(max(1, y.Processes))
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -28,8 +28,8 @@
 	defaultProbeKeep     = 2 * time.Minute
 )
 
-// LoadOptions reads and validates a properties file. An error names the file, the key and
-// the reason in one line.
+// LoadOptions reads and validates an options file, which has the format of a properties
+// file. An error names the file, the key and the reason in one line.
 func LoadOptions(file string) (*Options, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/settings/sharing.go
+++ b/internal/settings/sharing.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Sharing configures how teams and classes share scarce capacity. A floor is the part of
-// the cluster that is guaranteed to the jobs of a class of a team.
+// Sharing configures how teams and classes share scarce capacity. A floor is the minimum
+// share of the cluster for the jobs of a class of a team.
 type Sharing struct {
 	// FloorFraction is the fraction of the cluster that the floors of the classes with the
 	// highest priority may take together, and those of all other classes as well. 0 disables
--- a/internal/snapshot/verify.go
+++ b/internal/snapshot/verify.go
@@ -165,18 +165,18 @@
 		v.addFinding(key, "forgotten", "its job %s has no record that can be read", id)
 		return
 	}
-	places, err := ledger.DecodeChunkTasks(key, it.Value)
+	tasks, err := ledger.DecodeChunkTasks(key, it.Value)
 	if err != nil {
 		v.addFinding(key, "record", "%v", err)
 		return
 	}
-	if n >= r.Chunks() || len(places) > r.TasksPerChunk || n*r.TasksPerChunk+len(places) > r.Tasks {
-		v.addFinding(key, "record", "%d tasks from %d on, but job %s has %d in chunks of %d", len(places), n*r.TasksPerChunk, id, r.Tasks, r.TasksPerChunk)
+	if n >= r.Chunks() || len(tasks) > r.TasksPerChunk || n*r.TasksPerChunk+len(tasks) > r.Tasks {
+		v.addFinding(key, "record", "%d tasks from %d on, but job %s has %d in chunks of %d", len(tasks), n*r.TasksPerChunk, id, r.Tasks, r.TasksPerChunk)
 		return
 	}
 	spec := r.JobSpec()
 	attempts := map[uint64]bool{}
-	for k, p := range places {
+	for k, p := range tasks {
 		switch {
 		case p.Done:
 			if r.Final == ledger.Open {
--- a/internal/units/actor.go
+++ b/internal/units/actor.go
@@ -13,7 +13,7 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Declared is a resource that the properties file names.
+// Declared is a resource that the options file declares.
 type Declared struct {
 	Name  string
 	Count int
@@ -21,7 +21,7 @@
 }
 
 // Probe asks a server over HTTP how many units are in use outside the cluster: the
-// answer is {"used": 3}. Only the operator's properties file sets the address.
+// answer is {"used": 3}. Only the operator's options file sets the address.
 type Probe struct {
 	Addr, Path string
 	Every      time.Duration
@@ -38,7 +38,7 @@
 )
 
 // Actor keeps the inventory of a term up to date from the records, the operator's
-// properties file and probes.
+// options file and probes.
 type Actor struct {
 	env       actor.Env
 	store     *statestore.Store
@@ -86,7 +86,7 @@
 // Close ends the term.
 func (a *Actor) Close() { a.stopped = true }
 
-// Paused reports that the process was paused for gap, which doesn't count as silence
+// Paused is called after the process was paused for gap, which doesn't count as silence
 // of a probe.
 func (a *Actor) Paused(gap time.Duration) {
 	for _, p := range a.probes {
@@ -103,7 +103,7 @@
 	}
 	rec, err := Decode(name, it.Value)
 	if err != nil {
-		a.env.Log().Error("resource record can't be read; it is left unchanged and no units of the resource are given out", "key", key, "err", err)
+		a.env.Log().Error("resource record can't be read, left unchanged; no units of the resource are given out", "key", key, "err", err)
 	}
 	a.inventory.Set(name, rec, it.Stamp)
 	if r := a.inventory.Get(name); rec != nil && r.Record == rec {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Tick writes the properties file's declarations and runs the probes.
+// Tick writes the options file's declarations and runs the probes.
 func (a *Actor) Tick() {
 	now := a.env.Now()
 	if a.stopped || now-a.lastTick < time.Second {
@@ -160,7 +160,7 @@
 }
 
 // declare creates the record of a declared resource, or applies a count that has
-// changed in the properties file. While the file's count doesn't change, a count that
+// changed in the options file. While the file's count doesn't change, a count that
 // an operator sets stays.
 func (a *Actor) declare(d Declared) {
 	r := a.inventory.Get(d.Name)
@@ -228,7 +228,7 @@
 			return
 		}
 		if json.Unmarshal(ans.Body, &x) != nil || x.Used == nil || !(*x.Used >= 0) || *x.Used > MaxCount || *x.Used != float64(int(*x.Used)) {
-			a.env.Log().Error("invalid answer from a resource's probe", "name", p.Name, "addr", p.Probe.Addr)
+			a.env.Log().Error("invalid response from a probe", "name", p.Name, "addr", p.Probe.Addr)
 			return
 		}
 		p.lastAnswer, p.used = a.env.Now(), int(*x.Used)
--- a/internal/units/handler.go
+++ b/internal/units/handler.go
@@ -81,7 +81,7 @@
 		}
 		h.change(name, func(rec *Record) error { return h.set(rec, u) }, 4, reply)
 	case verb == wire.VerbRemove && r.Method == "POST":
-		asked, err := wire.DecodeRequestInfo(r.Body)
+		info, err := wire.DecodeRequestInfo(r.Body)
 		if err != nil {
 			reply(answer.Refuse(400, 0, "%v", err))
 			return true
@@ -90,7 +90,7 @@
 			if rec.V == 0 {
 				return fmt.Errorf("no resource %s is known", name)
 			}
-			rec.Removed, rec.By = true, asked.By
+			rec.Removed, rec.By = true, info.By
 			return nil
 		}, 4, reply)
 	default:
--- a/internal/units/inventory.go
+++ b/internal/units/inventory.go
@@ -9,8 +9,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Holder is what holds units: a placement, or a job for units that the whole job
-// requests once.
+// Holder identifies the holder of units: a placement, or a job for units that the whole
+// job requests once.
 type Holder any
 
 // Resource is the leader's state of one counted resource.
@@ -180,8 +180,8 @@
 	return s
 }
 
-// CheckSatisfiable returns an error if a job could never have its units while the
-// resources' records stay as they are.
+// CheckSatisfiable returns an error if a job could never have its units with the current
+// records of the resources.
 func CheckSatisfiable(s *model.Spec, find func(name string) (rec *Record, err error)) error {
 	for _, u := range s.Units {
 		rec, err := find(u.Name)
--- a/internal/units/record.go
+++ b/internal/units/record.go
@@ -52,10 +52,10 @@
 	// External is how many units are in use outside the cluster, as set by an operator
 	// or by the last answer of a probe.
 	External int `json:"x,omitempty"`
-	// Shed: tasks are stopped when more units are in use than there are.
+	// Shed means that tasks are stopped when more units are in use than there are.
 	Shed bool `json:"shed,omitempty"`
-	// DeclaredCount is the last count from the properties file. It shows when the file
-	// has changed.
+	// DeclaredCount is the last count from the options file. It shows when the file has
+	// changed.
 	DeclaredCount int    `json:"f,omitempty"`
 	By            string `json:"by,omitempty"`
 	AtMS          int64  `json:"at,omitempty"`
@@ -76,7 +76,7 @@
 	return true
 }
 
-// BadName returns an error that says what is wrong with a name.
+// BadName returns an error that says why a name is invalid.
 func BadName(name string) error {
 	if len(name) > 60 {
 		name = name[:60]
--- a/internal/wire/overview.go
+++ b/internal/wire/overview.go
@@ -25,16 +25,16 @@
 	Admitted float64 `json:"admitted"`
 	Waiting  int     `json:"waiting"` // submissions that wait for admission
 	Refused  int     `json:"refused"` // submissions refused since the process started
-	// Only the leader sets the following fields. AdmitFraction is the fraction of the write
-	// limit that it divides among the nodes, WriteBacklogS is how many seconds its pending
-	// writes take, and ClosedClasses lists the classes whose submissions are refused.
+	// Only the leader sets the following fields. AdmitFraction is the factor, at most 1, to
+	// which it reduces admission while its writes are behind. WriteBacklogS is how many seconds
+	// its pending writes take. ClosedClasses lists the classes whose submissions are refused.
 	AdmitFraction float64  `json:"ease,omitempty"`
 	WriteBacklogS float64  `json:"behind_s"`
 	ClosedClasses []string `json:"shut,omitempty"`
 }
 
 // ClassView counts the unfinished jobs and the tasks of a class of a team. Floor counts the
-// jobs that may use the capacity guaranteed to the class.
+// jobs within the minimum share of the class, which the settings call its floor.
 type ClassView struct {
 	Class   string `json:"class"`
 	Team    string `json:"team"`
--- a/internal/wire/rollout.go
+++ b/internal/wire/rollout.go
@@ -328,7 +328,7 @@
 	AtMS  int64  `json:"at_ms"`            // start, in Unix milliseconds
 	EndMS int64  `json:"end_ms,omitempty"` // 0 while the roll-out is under way
 	// State is waiting, rolling, baking, watching, returning or stuck, and after the end
-	// done, rolled back, withdrawn or stuck.
+	// done, rolled back or withdrawn.
 	State  string `json:"state"`
 	Paused bool   `json:"paused,omitempty"`
 	Step   int    `json:"step"` // counted from 1
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire encodes and decodes the messages of all network interfaces. It maps the
-// names of the protocol (such as ref, shard, crew or baton) to the terms of package
-// model, which the other packages use.
+// Package wire encodes and decodes the JSON messages of users, operators, workers, the
+// cloud and the state service. It maps the names of the protocol (such as ref, shard, crew
+// or baton) to the terms of package model, which the other packages use. Messages between
+// controllers are not in this package: the packages that exchange them encode them.
 package wire
 
 import (
