--- a/internal/sim/additional_faults_test.go
+++ b/internal/sim/additional_faults_test.go
@@ -27,7 +27,7 @@
 				m.BlockOutbound(d)
 			}
 		}
-	case 1: // many jobs are cancelled within a moment, machines hang for up to just above a lease
+	case 1: // up to 12 jobs are cancelled within 200 ms, and some of their machines may hang for up to 1.05 leases
 		hang := []time.Duration{0, w.randomSecs(1, 20), w.randomSecs(20, 1.05*w.lease().Seconds())}[r.IntN(3)]
 		w.CancelRunning(1+r.IntN(12), hang)
 	case 2:
@@ -102,7 +102,7 @@
 			w := combinedFaultsWorld(50000, s)
 			w.scheduleAdditionalFaults()
 			w.Run(1500 * time.Second)
-			w.verdictWithFinalAnswers(t)
+			w.checkFinalStates(t)
 		})
 	}
 }
@@ -127,9 +127,9 @@
 	w.endFaultsAfter(end)
 }
 
-// verdictWithFinalAnswers checks the verdict and that most jobs reached a state that users were told
-// as final. Many jobs are cancelled in these tests, so only few must be done.
-func (w *World) verdictWithFinalAnswers(t *testing.T) {
+// checkFinalStates checks the outcome, and that at least 60 jobs were reported to users as done or
+// cancelled. Many jobs are cancelled in these tests, so only few must be done.
+func (w *World) checkFinalStates(t *testing.T) {
 	t.Helper()
 	w.checkOutcome(t, 10)
 	final := 0 // jobs that were reported done or whose cancellation was confirmed
--- a/internal/sim/cancel_model_test.go
+++ b/internal/sim/cancel_model_test.go
@@ -35,7 +35,7 @@
 type cancelModelReport struct {
 	sentAgo  int8 // steps since the worker sent it, -1: there is no report
 	answered bool // the leader has answered, and the answer is in flight
-	stop     bool // the answer tells the worker to stop the task
+	stop     bool // the answer orders the worker to stop the task
 	leader   int8 // the leader that answered
 }
 
@@ -81,7 +81,7 @@
 }
 
 // forEachForwarding calls do with each state that the forwarding of a report can lead to.
-func (s cancelModelState) forEachForwarding(g cancelModelConditions, do func(what string, n cancelModelState)) {
+func (s cancelModelState) forEachForwarding(conditions cancelModelConditions, do func(what string, n cancelModelState)) {
 	r := s.report
 	if r.sentAgo < 0 {
 		if !s.hung {
@@ -96,13 +96,13 @@
 	do("the report or its answer is lost", n)
 	if !r.answered {
 		for i, l := range s.leaders {
-			if l.leads && min(l.proofAge, l.peerProofAge) <= g.hold {
+			if l.leads && min(l.proofAge, l.peerProofAge) <= conditions.hold {
 				n := s
-				n.report.answered, n.report.stop, n.report.leader = true, l.knowsCancellation && g.stopCommands, int8(i)
+				n.report.answered, n.report.stop, n.report.leader = true, l.knowsCancellation && conditions.stopCommands, int8(i)
 				do("a leader answers the forwarded report", n)
 			}
 		}
-		if !g.forwardAll {
+		if !conditions.forwardAll {
 			n := s
 			n.report.answered, n.report.leader = true, s.token
 			do("the forwarding controller answers by itself", n)
@@ -113,7 +113,7 @@
 		return // the worker drops the answer
 	}
 	n.token, n.lease = r.leader, cancelModelLease-r.sentAgo
-	if !g.leaseFromSent {
+	if !conditions.leaseFromSent {
 		n.lease = cancelModelLease
 	}
 	if r.stop {
@@ -123,10 +123,10 @@
 }
 
 // forEachSuccessor calls do with each state that one event can lead to.
-func (s cancelModelState) forEachSuccessor(g cancelModelConditions, v cancelModelVariant, do func(what string, n cancelModelState)) {
+func (s cancelModelState) forEachSuccessor(conditions cancelModelConditions, v cancelModelVariant, do func(what string, n cancelModelState)) {
 	peers := v == variantPeers
 	if v == variantForwarder {
-		s.forEachForwarding(g, do)
+		s.forEachForwarding(conditions, do)
 	}
 	for v := range int8(3) {
 		if v != s.service {
@@ -137,7 +137,7 @@
 	}
 	n := s
 	n.hung = !s.hung
-	if s.hung && s.lease == 0 && g.leaseCheckOnResume {
+	if s.hung && s.lease == 0 && conditions.leaseCheckOnResume {
 		n.running = false
 	}
 	do(map[bool]string{false: "hangs", true: "resumes"}[s.hung], n)
@@ -178,7 +178,7 @@
 			n := s
 			x := &n.leaders[i]
 			x.proofAge, x.knowsCancellation, x.questionAge = l.questionAge, l.knowsCancellation || l.askedAfterCancellation, -1
-			if !g.proofFromQuestion {
+			if !conditions.proofFromQuestion {
 				x.proofAge = 0
 			}
 			do("proof", n)
@@ -191,7 +191,7 @@
 			n.leaders[i].peerQuestionAge, n.leaders[i].peerAnswered = 0, false
 			do("asks the others", n)
 		}
-		if l.peerQuestionAge >= 0 && !l.peerAnswered && (!s.peerCut || !g.allPeers) && (i == 1 || !s.nextElected) {
+		if l.peerQuestionAge >= 0 && !l.peerAnswered && (!s.peerCut || !conditions.allPeers) && (i == 1 || !s.nextElected) {
 			n := s
 			n.leaders[i].peerAnswered, n.leaders[i].peerAnswerKnows = true, s.confirmedAgo >= 0 && !s.peerCut
 			do("the others answer", n)
@@ -200,21 +200,21 @@
 			n := s
 			x := &n.leaders[i]
 			x.peerProofAge, x.peerQuestionAge, x.peerAnswered = l.peerQuestionAge, -1, false
-			x.knowsCancellation = l.knowsCancellation || l.peerAnswerKnows && g.learnFromPeers
-			if !g.peerProofFromQuestion {
+			x.knowsCancellation = l.knowsCancellation || l.peerAnswerKnows && conditions.learnFromPeers
+			if !conditions.peerProofFromQuestion {
 				x.peerProofAge = 0
 			}
 			do("receives the others' answer", n)
 		}
-		if !s.hung && l.knowsCancellation && g.stopCommands && int8(i) >= s.token { // a worker that reaches no controller receives it, too
+		if !s.hung && l.knowsCancellation && conditions.stopCommands && int8(i) >= s.token { // a worker that reaches no controller receives it, too
 			n := s
 			n.running, n.token = false, int8(i)
 			do("a command to stop", n)
 		}
-		if v != variantForwarder && !s.hung && min(l.proofAge, l.peerProofAge) <= g.hold && int8(i) >= s.token { // the leader may answer a report
+		if v != variantForwarder && !s.hung && min(l.proofAge, l.peerProofAge) <= conditions.hold && int8(i) >= s.token { // the leader may answer a report
 			n := s
 			n.lease, n.token = cancelModelLease, int8(i)
-			if l.knowsCancellation && g.stopCommands {
+			if l.knowsCancellation && conditions.stopCommands {
 				n.running = false
 			}
 			do([]string{"answers a report", "the next answers a report"}[i], n)
@@ -232,10 +232,10 @@
 	for i := range n.leaders {
 		l := &n.leaders[i]
 		l.proofAge, l.peerProofAge = min(l.proofAge+1, 100), min(l.peerProofAge+1, 100)
-		if l.proofAge > g.hold {
+		if l.proofAge > conditions.hold {
 			l.proofAge = 100
 		}
-		if l.peerProofAge > g.hold {
+		if l.peerProofAge > conditions.hold {
 			l.peerProofAge = 100
 		}
 		if l.questionAge >= 0 {
@@ -257,7 +257,7 @@
 
 // exploreCancelModel visits up to maxStates states of a variant. It returns their number and the first
 // trace to a state in which the task has run past the deadline of its cancellation.
-func exploreCancelModel(g cancelModelConditions, v cancelModelVariant, maxStates int) (states int, trace []string) {
+func exploreCancelModel(conditions cancelModelConditions, v cancelModelVariant, maxStates int) (states int, trace []string) {
 	start := cancelModelState{running: true, lease: cancelModelLease, confirmedAgo: -1, report: cancelModelReport{sentAgo: -1}}
 	start.leaders[0] = cancelModelLeader{leads: true, questionAge: -1, peerProofAge: 100, peerQuestionAge: -1}
 	type from struct {
@@ -271,7 +271,7 @@
 			continue
 		}
 		var bad *cancelModelState
-		s.forEachSuccessor(g, v, func(what string, n cancelModelState) {
+		s.forEachSuccessor(conditions, v, func(what string, n cancelModelState) {
 			if _, ok := seen[n]; ok || bad != nil {
 				return
 			}
@@ -308,26 +308,26 @@
 	for _, c := range []struct {
 		name    string
 		variant cancelModelVariant
-		disable func(g *cancelModelConditions)
+		disable func(conditions *cancelModelConditions)
 	}{
-		{"the end of the hold", variantNextLeader, func(g *cancelModelConditions) { g.hold = 50 }},
-		{"a hold that fits into the deadline", variantNextLeader, func(g *cancelModelConditions) { g.hold++ }},
-		{"counting a proof from its question", variantNextLeader, func(g *cancelModelConditions) { g.proofFromQuestion = false }},
-		{"commands to stop", variantNextLeader, func(g *cancelModelConditions) { g.stopCommands = false }},
-		{"counting the others' answers from the question", variantPeers, func(g *cancelModelConditions) { g.peerProofFromQuestion = false }},
-		{"learning what the others know", variantPeers, func(g *cancelModelConditions) { g.learnFromPeers = false }},
-		{"a lease check when a machine resumes", variantNextLeader, func(g *cancelModelConditions) { g.leaseCheckOnResume = false }},
-		{"hearing from all others", variantPeers, func(g *cancelModelConditions) { g.allPeers = false }},
-		{"forwarding every report", variantForwarder, func(g *cancelModelConditions) { g.forwardAll = false }},
-		{"counting a lease from when the report was sent", variantForwarder, func(g *cancelModelConditions) { g.leaseFromSent = false }},
-		{"a hold that fits into the deadline, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.hold++ }},
-		{"counting a proof from its question, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.proofFromQuestion = false }},
-		{"commands to stop, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.stopCommands = false }},
-		{"a lease check when a machine resumes, with forwarding", variantForwarder, func(g *cancelModelConditions) { g.leaseCheckOnResume = false }},
+		{"the end of the hold", variantNextLeader, func(conditions *cancelModelConditions) { conditions.hold = 50 }},
+		{"a hold that fits into the deadline", variantNextLeader, func(conditions *cancelModelConditions) { conditions.hold++ }},
+		{"counting a proof from its question", variantNextLeader, func(conditions *cancelModelConditions) { conditions.proofFromQuestion = false }},
+		{"commands to stop", variantNextLeader, func(conditions *cancelModelConditions) { conditions.stopCommands = false }},
+		{"counting the others' answers from the question", variantPeers, func(conditions *cancelModelConditions) { conditions.peerProofFromQuestion = false }},
+		{"learning what the others know", variantPeers, func(conditions *cancelModelConditions) { conditions.learnFromPeers = false }},
+		{"a lease check when a machine resumes", variantNextLeader, func(conditions *cancelModelConditions) { conditions.leaseCheckOnResume = false }},
+		{"requiring the answers of all others", variantPeers, func(conditions *cancelModelConditions) { conditions.allPeers = false }},
+		{"forwarding every report", variantForwarder, func(conditions *cancelModelConditions) { conditions.forwardAll = false }},
+		{"counting a lease from when the report was sent", variantForwarder, func(conditions *cancelModelConditions) { conditions.leaseFromSent = false }},
+		{"a hold that fits into the deadline, with forwarding", variantForwarder, func(conditions *cancelModelConditions) { conditions.hold++ }},
+		{"counting a proof from its question, with forwarding", variantForwarder, func(conditions *cancelModelConditions) { conditions.proofFromQuestion = false }},
+		{"commands to stop, with forwarding", variantForwarder, func(conditions *cancelModelConditions) { conditions.stopCommands = false }},
+		{"a lease check when a machine resumes, with forwarding", variantForwarder, func(conditions *cancelModelConditions) { conditions.leaseCheckOnResume = false }},
 	} {
-		g := all
-		c.disable(&g)
-		n, trace := exploreCancelModel(g, c.variant, maxStates)
+		conditions := all
+		c.disable(&conditions)
+		n, trace := exploreCancelModel(conditions, c.variant, maxStates)
 		if trace == nil {
 			t.Errorf("without %s the task always ends in time in %d states", c.name, n)
 		}
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -96,8 +96,8 @@
 	return w
 }
 
-// endFaultsAfter ends all message faults soon after the given time and tells the checks that no
-// fault is active from then on.
+// endFaultsAfter ends all message faults 15 s after the given time. From then on the limits
+// maxUnanswered and maxWait apply to jobs.
 func (w *World) endFaultsAfter(end time.Duration) {
 	w.FaultsEndAt = end + 15*time.Second
 	w.At(w.FaultsEndAt, func() { w.State.SlowOneIn, w.StallOneIn, w.DuplicateOneIn = 0, 0, 0 })
@@ -139,7 +139,7 @@
 func TestIsolatedLeader(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
-		quiet bool // nobody cancels, so the next leader has no orders for its workers
+		quiet bool // no user cancels, so the next leader has no orders for its workers
 	}{{3, false}, {3, true}, {7, false}, {7, true}} {
 		nodes := c.nodes
 		w := worldOf(Config{Seed: uint64(90 + nodes), Nodes: nodes})
@@ -176,8 +176,8 @@
 			t.Errorf("%d nodes: the leader has changed again", nodes)
 		}
 		w.Run(400 * time.Second)
-		for _, b := range w.Violations {
-			t.Error(b)
+		for _, violation := range w.Violations {
+			t.Error(violation)
 		}
 	}
 }
@@ -224,9 +224,9 @@
 }
 
 // TestEndsFarApart runs jobs of two or three tasks that end at very different times, since some
-// machines are much slower. The leader crashes repeatedly before the marks of done tasks are
-// durable, and machines with results are taken. No job may be reported done too early, all jobs
-// must end, and few tasks may run again needlessly.
+// machines are much slower. The leader crashes repeatedly before the writes that record done tasks
+// are durable, and the cloud reclaims machines with results. No job may be reported done too early,
+// all jobs must end, and few tasks may run again needlessly.
 func TestEndsFarApart(t *testing.T) {
 	starts, tasks := 0, 0
 	for _, seed := range seeds(t, 10) {
--- a/internal/sim/confirmed_test.go
+++ b/internal/sim/confirmed_test.go
@@ -17,7 +17,7 @@
 	// How long the state service refuses the leader; when users cancel and when the outage
 	// begins, both from the beginning of the refusal; how long the outage lasts, 0: 75 s.
 	refusedFor, cancelAfter, outageAfter, outageLasts time.Duration
-	askedNode                                         string        // who gets the cancellations: "" a follower, "old" or "new" that leader
+	askedNode                                         string        // the node that gets the cancellations: "" a follower, "old" or "new" that leader
 	cutFromPeers                                      bool          // the old leader is also cut from the other controllers
 	workersReachOldOnly                               bool          // the workers reach only the old leader
 	pausedFor                                         time.Duration // how long the old leader is paused in the outage
@@ -212,8 +212,8 @@
 			longest, ran, kept, killed := time.Duration(0), 0, 0, 0
 			for _, seed := range seeds(t, 3) {
 				w, n := c.run(t, 300+seed)
-				for _, b := range w.Violations {
-					t.Errorf("seed %d: %s", seed, b)
+				for _, violation := range w.Violations {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 				longest, ran = max(longest, w.LongestCancelled), ran+n
 				for _, r := range w.jobs["j-5"].runners() {
--- a/internal/sim/copies_test.go
+++ b/internal/sim/copies_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestCopiesOfStarts delivers three copies of each direct start, 2 s to 4 min after the original.
-// Most arrive when the task is done and the worker was told to forget it, while the task's team is
-// at its limit or its job was cancelled, also after a change of leader. A worker that had
+// Most arrive when the task is done and the worker was ordered to forget it, while the task's team
+// is at its limit or its job was cancelled, also after a change of leader. A worker that had
 // forgotten a done task started it again, which broke the rules `quota` and `ran_cancelled`.
 func TestCopiesOfStarts(t *testing.T) {
 	t.Parallel()
@@ -42,9 +42,9 @@
 				if !m.reachable() {
 					return
 				}
-				l := w.view()
+				v := w.view()
 				for _, j := range w.jobsOfDoneTasks(m, body) {
-					if l.use[j.team][0]+j.cpus > 160 && l.free[m][0] >= j.cpus {
+					if v.use[j.team][0]+j.cpus > 160 && v.free[m][0] >= j.cpus {
 						atLimit++
 					}
 					if j.cancelledAt > 0 && w.now > j.cancelledAt+w.cancelDeadline() {
--- a/internal/sim/estimates_test.go
+++ b/internal/sim/estimates_test.go
@@ -37,8 +37,8 @@
 					}
 				}
 			}
-			for _, b := range w.Violations {
-				t.Error(b)
+			for _, violation := range w.Violations {
+				t.Error(violation)
 			}
 			for id, j := range w.jobs {
 				if d := done[id]; d == 0 || d.Seconds() > 3*j.runS+20 {
--- a/internal/sim/failover_limits_test.go
+++ b/internal/sim/failover_limits_test.go
@@ -117,10 +117,10 @@
 // started or ended since.
 func TestDelayedReports(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		share float64
-		hold  float64 // longest delay in seconds; the shortest is half of it
-		twice bool    // the leader changes once more
+		name          string
+		share         float64
+		longestDelayS float64 // the shortest delay is half of it
+		twice         bool    // the leader changes once more
 	}{
 		{"one, for a short time", 0.1, 3, false},
 		{"one, for long", 0.1, 25, false},
@@ -155,7 +155,7 @@
 					}
 					reporters[from] = true // one report of each machine around each change
 					delayed++
-					return w.randomSecs(c.hold/2, c.hold)
+					return w.randomSecs(c.longestDelayS/2, c.longestDelayS)
 				}
 				w.FaultsEndAt = 180 * time.Second
 				w.Run(600 * time.Second)
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -75,8 +75,8 @@
 		}
 	})
 	w.Run(crashed + 40*time.Second)
-	for _, b := range w.Violations {
-		t.Error(b)
+	for _, violation := range w.Violations {
+		t.Error(violation)
 	}
 	if firstStart == 0 || firstStart-crashed > 3*time.Second+restart+3*time.Second {
 		t.Errorf("the first start came %v after the crash", firstStart-crashed)
@@ -154,8 +154,8 @@
 		w.Cloud.snapshots = append([]snapshot(nil), w.Cloud.snapshots[n-1])
 		most = max(most, heapMB()-before)
 	}
-	for _, b := range w.Violations {
-		t.Error(b)
+	for _, violation := range w.Violations {
+		t.Error(violation)
 	}
 	if w.Done < 30 {
 		t.Errorf("%d of 30 jobs are done", w.Done)
--- a/internal/sim/flood_test.go
+++ b/internal/sim/flood_test.go
@@ -25,7 +25,7 @@
 type floodCase struct {
 	name        string
 	nodes       int
-	frontNode   func(w *World) int
+	userNode    func(w *World) int // the node that users send requests to; nil: any
 	fault       func(w *World)
 	interrupted bool // requests can fail for a while
 }
@@ -84,8 +84,8 @@
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
 			w := worldOf(Config{Seed: uint64(500 + i), Nodes: f.nodes, WriteRPS: 30})
-			if f.frontNode != nil {
-				w.UserNode = func() int { return f.frontNode(w) }
+			if f.userNode != nil {
+				w.UserNode = func() int { return f.userNode(w) }
 			}
 			w.SubmitTimeout = time.Minute
 			if f.name == "an upgrade" {
@@ -145,15 +145,15 @@
 }
 
 // TestStarvation has more urgent work than the machines can do, for minutes, and a
-// change of leader. The floors reserve a part of the machines for each other class of
-// each team: at least half of their jobs are done, as long as that part suffices.
-// Without floors fewer are done.
+// change of leader. The minimum shares reserve a part of the machines for each other
+// class of each team: at least half of their jobs are done, as long as that part
+// suffices. Without minimum shares fewer are done.
 func TestStarvation(t *testing.T) {
 	t.Parallel()
-	for _, noFloors := range []bool{false, true} {
+	for _, noMinShares := range []bool{false, true} {
 		least := 1.0
 		for seed := range uint64(2) {
-			w := worldOf(Config{Seed: 600 + seed, Nodes: 3, NoMinShares: noFloors, Objectives: []settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 20, Share: 0.9}}})
+			w := worldOf(Config{Seed: 600 + seed, Nodes: 3, NoMinShares: noMinShares, Objectives: []settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 20, Share: 0.9}}})
 			w.submitSteadily("urgent", 3, 400*time.Millisecond, 10*time.Second, 320*time.Second, func(i int) Job {
 				return Job{Kind: "ensemble", Team: "free", Tasks: 1, CPUs: 16, RunS: 60, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 1}
 			})
@@ -174,11 +174,11 @@
 				if k != "urgent of free" {
 					least = min(least, share)
 				}
-				t.Logf("floors %v, seed %d: %s: %d of %d done", !noFloors, seed, k, c[2], c[0])
+				t.Logf("minimum shares %v, seed %d: %s: %d of %d done", !noMinShares, seed, k, c[2], c[0])
 			}
 		}
-		if !noFloors && least < 0.5 || noFloors && least >= 0.5 {
-			t.Errorf("floors %v: the smallest share of a class that was done is %.2f", !noFloors, least)
+		if !noMinShares && least < 0.5 || noMinShares && least >= 0.5 {
+			t.Errorf("minimum shares %v: the smallest share of a class that was done is %.2f", !noMinShares, least)
 		}
 	}
 }
--- a/internal/sim/forward_test.go
+++ b/internal/sim/forward_test.go
@@ -25,25 +25,25 @@
 	if seed%3 == 0 {
 		cfg.Nodes, cfg.NodeZones, cfg.RPS, cfg.WriteRPS = 7, []string{"a", "b"}, 120, 25
 	}
-	w, p := worldOf(cfg), &forwardedCounts{}
+	w, counts := worldOf(cfg), &forwardedCounts{}
 	w.OnSend = func(_ string, c actor.Call) {
 		switch c.Path {
 		case forward.ReportsPath:
-			p.reports++
+			counts.reports++
 		case forward.OrdersPath:
-			p.orders++
+			counts.orders++
 		}
 	}
-	return w, p
+	return w, counts
 }
 
 // check fails the test if controllers forwarded too few reports.
-func (p *forwardedCounts) check(t *testing.T) {
+func (counts *forwardedCounts) check(t *testing.T) {
 	t.Helper()
-	if p.reports < 50 {
-		t.Errorf("%d batches of reports and %d of orders were forwarded", p.reports, p.orders)
+	if counts.reports < 50 {
+		t.Errorf("%d batches of reports and %d of orders were forwarded", counts.reports, counts.orders)
 	}
-	t.Logf("%d batches of reports, %d of orders", p.reports, p.orders)
+	t.Logf("%d batches of reports, %d of orders", counts.reports, counts.orders)
 }
 
 // TestSpreadCombinedFaults injects the random faults of TestCombinedFaults and
@@ -52,7 +52,7 @@
 	for _, s := range seeds(t, 32) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
-			w, p := spreadWorld(70000 + s)
+			w, counts := spreadWorld(70000 + s)
 			withLoadAndMessageFaults(w)
 			if s%2 == 0 {
 				w.scheduleCombinedFaults()
@@ -61,9 +61,9 @@
 			} else {
 				w.scheduleAdditionalFaults()
 				w.Run(1500 * time.Second)
-				w.verdictWithFinalAnswers(t)
+				w.checkFinalStates(t)
 			}
-			p.check(t)
+			counts.check(t)
 		})
 	}
 }
@@ -73,7 +73,7 @@
 	for _, s := range seeds(t, 16) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
-			w, p := spreadWorld(80000 + s)
+			w, counts := spreadWorld(80000 + s)
 			w.Workload(60, 200*time.Second)
 			for range 8 {
 				w.At(w.randomSecs(5, 300), w.injectFault)
@@ -81,7 +81,7 @@
 			w.endFaultsAfter(400 * time.Second)
 			w.Run(1500 * time.Second)
 			w.checkOutcome(t, 25)
-			p.check(t)
+			counts.check(t)
 		})
 	}
 }
@@ -128,7 +128,7 @@
 		for _, s := range seeds(t, 3) {
 			t.Run(fault.name+"/"+strconv.FormatUint(s, 10), func(t *testing.T) {
 				t.Parallel()
-				w, p := spreadWorld(90000 + 100*uint64(i) + s)
+				w, counts := spreadWorld(90000 + 100*uint64(i) + s)
 				if !fault.keepsLeases {
 					w.StallOneIn, w.DuplicateOneIn = 400, 100
 				}
@@ -139,7 +139,7 @@
 				w.endFaultsAfter(330 * time.Second)
 				w.Run(1200 * time.Second)
 				w.checkOutcome(t, 20)
-				p.check(t)
+				counts.check(t)
 				if fault.keepsLeases && w.KilledByLease > 0 {
 					t.Errorf("%d tasks were killed by their worker's lease", w.KilledByLease)
 				}
@@ -224,7 +224,7 @@
 	if w.KilledByLease > killed {
 		t.Errorf("%d tasks were killed by their lease", w.KilledByLease-killed)
 	}
-	for _, b := range w.Violations {
-		t.Error(b)
+	for _, violation := range w.Violations {
+		t.Error(violation)
 	}
 }
--- a/internal/sim/guards_test.go
+++ b/internal/sim/guards_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestLateTransaction guards the condition on a chunk's version: a placement's transaction is
-// delayed, the cloud announces that it takes its machine, the task is placed elsewhere, and then
-// the delayed transaction arrives. Without the condition it would be applied, and the next leader
-// would start the task on the first machine, too.
+// delayed, the cloud announces that it will reclaim the machine, the task is placed elsewhere, and
+// then the delayed transaction arrives. Without the condition it would be applied, and the next
+// leader would start the task on the first machine, too.
 func TestLateTransaction(t *testing.T) {
 	w := world(41)
 	at := regexp.MustCompile(`1@(vm-[0-9]+)`)
@@ -104,8 +104,8 @@
 			t.Errorf("seed %d: %d starts before the cancellation was confirmed, %d in total", seed, before, n)
 		}
 		w.Run(200 * time.Second)
-		for _, b := range w.Violations {
-			t.Error(b)
+		for _, violation := range w.Violations {
+			t.Error(violation)
 		}
 	}
 	t.Logf("%d starts before the cancellations", started)
@@ -132,7 +132,7 @@
 	if held == 0 || w.Starts("j-1") == 0 {
 		t.Errorf("%d starts delayed, %d executed: the simulation did not reach the state under test", held, w.Starts("j-1"))
 	}
-	for _, b := range w.Violations {
-		t.Error(b)
+	for _, violation := range w.Violations {
+		t.Error(violation)
 	}
 }
--- a/internal/sim/invalid_requests_test.go
+++ b/internal/sim/invalid_requests_test.go
@@ -20,16 +20,16 @@
 	for _, seed := range seeds(t, 2) {
 		w := world(46000 + seed)
 		w.Workload(30, 100*time.Second)
-		front := 0
-		w.UserNode = func() int { return front }
+		userNode := 0
+		w.UserNode = func() int { return userNode }
 		sent := 0
 		for i := range w.nodes {
 			for k := range invalidJobs {
 				w.At(60*time.Second+time.Duration(i*len(invalidJobs)+k)*100*time.Millisecond, func() {
-					front = i
+					userNode = i
 					sent++
 					w.submitInvalid(k)
-					front = w.rng.IntN(len(w.nodes))
+					userNode = w.rng.IntN(len(w.nodes))
 				})
 			}
 		}
--- a/internal/sim/late_test.go
+++ b/internal/sim/late_test.go
@@ -19,7 +19,7 @@
 	{"cancellation", func(b string) bool { return strings.Contains(b, `"f":"cancelled"`) }},
 	{"end", func(b string) bool { return strings.Contains(b, `"f":"done"`) }},
 	{"start", func(b string) bool { return strings.Contains(b, `"write":"b/t/`) && strings.Contains(b, "@vm-") }},
-	{"mark of what is done", func(b string) bool {
+	{"record of done tasks", func(b string) bool {
 		return strings.Contains(b, `"write":"b/t/`) && (strings.Contains(b, `"d `) || strings.Contains(b, ` d `) || strings.Contains(b, ` d"`))
 	}},
 	{"deletion of a chunk", func(b string) bool { return strings.Contains(b, `"delete":"b/t/`) }},
@@ -40,7 +40,7 @@
 			for _, seed := range seeds(t, 3) {
 				w := world(47000 + seed)
 				w.checkCancelled()
-				for i, m := range w.Machines() { // tasks of a job end at very different times, so that marks of done tasks are written
+				for i, m := range w.Machines() { // tasks of a job end at very different times, so that writes record done tasks
 					if i%2 == 0 {
 						m.SlowFactor = 12
 					}
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -140,7 +140,8 @@
 }
 
 // workerReport is a report of the protocol, and taskReport one task in it. On the wire a
-// session is a tenure, a sequence number a tick, a token a baton and a task a shard.
+// session is a tenure, a sequence number a tick, a token a baton, an interruption notice a
+// recall, a task a shard and an attempt a launch; for the other words see listedMachine.
 type workerReport struct {
 	Host                string       `json:"host"`
 	Address             string       `json:"address"`
--- a/internal/sim/message_faults.go
+++ b/internal/sim/message_faults.go
@@ -36,8 +36,8 @@
 
 func (m *Machine) losesInbound() bool { return m.w.now < m.inboundLostUntil }
 
-// BlockOutbound lets the machine open no connection to a controller, while direct commands
-// reach it and are answered.
+// BlockOutbound prevents the machine from opening connections to controllers, while direct
+// commands reach it and are answered.
 func (m *Machine) BlockOutbound(d time.Duration) {
 	m.outboundBlockedUntil = max(m.outboundBlockedUntil, m.w.now+d)
 }
@@ -148,7 +148,7 @@
 
 // StartLoadBalancer starts a load balancer that checks the health of all nodes once a
 // second, as the protocol requires. Users stay with the node of their connection until the
-// connection is reset.
+// connection is reset or the node has been unhealthy for 5 s.
 func (w *World) StartLoadBalancer() {
 	w.backends = make([]backend, len(w.nodes))
 	var probe func()
@@ -207,8 +207,8 @@
 	return w.nodes[j.nodeIndex]
 }
 
-// maxUnanswered is the longest time that no poll of a job may be answered once all
-// injected faults are over.
+// maxUnanswered is the longest time for which all polls of a job may stay unanswered once
+// all injected faults are over.
 const maxUnanswered = 75 * time.Second
 
 // recordUnanswered records a poll of the job that was not answered.
--- a/internal/sim/model_test.go
+++ b/internal/sim/model_test.go
@@ -79,7 +79,7 @@
 type modelBounds struct{ sessions, copies int8 }
 
 // forEachSuccessor calls do with each state that one event can lead to.
-func (s modelState) forEachSuccessor(g modelConditions, b modelBounds, do func(what string, n modelState)) {
+func (s modelState) forEachSuccessor(conditions modelConditions, b modelBounds, do func(what string, n modelState)) {
 	for i := range s.leaders {
 		l := s.leaders[i]
 		if s.token < modelMaxTokens { // the lease ends; this controller is elected and reads the record
@@ -123,7 +123,7 @@
 			m := s.machines[l.machine]
 			// For a placement by an earlier leader, a start is sent again only to a worker
 			// that has seen this leader's token: the worker then rejects older copies.
-			if !m.gone && (l.ownPlacement || !g.tokenSeen || m.token >= l.token) {
+			if !m.gone && (l.ownPlacement || !conditions.tokenSeen || m.token >= l.token) {
 				n := s
 				n.starts[l.machine] = modelStart{true, l.token, l.attempt, m.session}
 				n.leaders[i].startSent, n.leaders[i].startUncertain = true, true
@@ -149,13 +149,13 @@
 				// neither from this leader nor from an earlier one: the worker had seen this
 				// leader's token before.
 				sure := !(l.startUncertain && s.starts[m].exists) && (l.ownPlacement || x.token >= l.token)
-				if !g.uncertainStart {
+				if !conditions.uncertainStart {
 					sure = l.ownPlacement || x.token >= l.token
 				}
-				if !g.tokenSeen {
+				if !conditions.tokenSeen {
 					sure = !(l.startUncertain && s.starts[m].exists)
 				}
-				if !g.absence || sure && (l.startSent || !l.ownPlacement) {
+				if !conditions.absence || sure && (l.startSent || !l.ownPlacement) {
 					n.leaders[i].machine, n.leaders[i].ownPlacement, n.leaders[i].startSent, n.leaders[i].startUncertain = -1, false, false, false
 				}
 			}
@@ -178,7 +178,7 @@
 		n := s
 		n.writes[k] = modelWrite{}
 		do("write lost", n)
-		if (!g.leader || w.token == s.token) && (!g.version || w.baseRevision == s.revision) {
+		if (!conditions.leader || w.token == s.token) && (!conditions.version || w.baseRevision == s.revision) {
 			n.revision, n.attempt, n.machine = s.revision+1, w.attempt, w.machine
 			late := n // without an answer: the leader reads the record again, or no longer leads
 			if l := &n.leaders[w.leader]; l.token == w.token && !w.unawaited {
@@ -187,7 +187,7 @@
 			do("written", n)
 			do("written late", late)
 		} else if l := &n.leaders[w.leader]; l.token == w.token && !w.unawaited {
-			if w.token != s.token && g.leader {
+			if w.token != s.token && conditions.leader {
 				*l = modelLeader{} // it learns that another controller leads
 			} else {
 				l.writing, l.revision, l.attempt = false, s.revision, max(l.attempt, s.attempt) // it may write again
@@ -207,7 +207,7 @@
 			// The leader concludes the same as from any report; the worker ignores the answer.
 			// The model has no separate case for a placement that one copy shows and the next
 			// doesn't: freshReport covers both.
-			sure := !(l.startUncertain && s.starts[c.machine].exists) && (l.ownPlacement || c.token >= l.token || !g.freshReport)
+			sure := !(l.startUncertain && s.starts[c.machine].exists) && (l.ownPlacement || c.token >= l.token || !conditions.freshReport)
 			if sure && (l.startSent || !l.ownPlacement) {
 				n := s
 				n.leaders[i].machine, n.leaders[i].ownPlacement, n.leaders[i].startSent, n.leaders[i].startUncertain = -1, false, false, false
@@ -252,7 +252,7 @@
 
 // exploreModel visits up to maxStates states. It returns their number and the first trace to a state
 // in which the task runs twice.
-func exploreModel(g modelConditions, b modelBounds, maxStates int) (states int, trace []string) {
+func exploreModel(conditions modelConditions, b modelBounds, maxStates int) (states int, trace []string) {
 	start := modelState{machine: -1}
 	type from struct {
 		s    modelState
@@ -264,7 +264,7 @@
 		s := queue[0]
 		queue = queue[1:]
 		var bad *modelState
-		s.forEachSuccessor(g, b, func(what string, n modelState) {
+		s.forEachSuccessor(conditions, b, func(what string, n modelState) {
 			if _, ok := seen[n]; ok || bad != nil {
 				return
 			}
@@ -299,22 +299,22 @@
 	}
 	for _, c := range []struct {
 		name    string
-		disable func(g *modelConditions)
+		disable func(conditions *modelConditions)
 	}{
-		{"the leader's key in a write's conditions", func(g *modelConditions) { g.leader = false }},
-		{"the record's version in a write's conditions", func(g *modelConditions) { g.version = false }},
-		{"waiting for a start that may still arrive", func(g *modelConditions) { g.uncertainStart = false }},
-		{"requiring that the worker has seen the leader's token", func(g *modelConditions) { g.tokenSeen = false }},
-		{"proof of absence", func(g *modelConditions) { g.absence = false }},
-		{"dropping reports that may be old copies", func(g *modelConditions) { g.freshReport = false }},
+		{"the leader's key in a write's conditions", func(conditions *modelConditions) { conditions.leader = false }},
+		{"the record's version in a write's conditions", func(conditions *modelConditions) { conditions.version = false }},
+		{"waiting for a start that may still arrive", func(conditions *modelConditions) { conditions.uncertainStart = false }},
+		{"requiring that the worker has seen the leader's token", func(conditions *modelConditions) { conditions.tokenSeen = false }},
+		{"proof of absence", func(conditions *modelConditions) { conditions.absence = false }},
+		{"dropping reports that may be old copies", func(conditions *modelConditions) { conditions.freshReport = false }},
 	} {
-		g := all
-		c.disable(&g)
+		conditions := all
+		c.disable(&conditions)
 		b := modelBounds{1, 0}
-		if !g.freshReport {
+		if !conditions.freshReport {
 			b = modelBounds{0, 1}
 		}
-		n, trace := exploreModel(g, b, 3_000_000)
+		n, trace := exploreModel(conditions, b, 3_000_000)
 		if trace == nil {
 			t.Errorf("without %s the task never runs twice in %d states", c.name, n)
 		}
--- a/internal/sim/outage_test.go
+++ b/internal/sim/outage_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestOutages plays long outages of the state service. Around their beginning users cancel through
+// TestOutages simulates long outages of the state service. Around their beginning users cancel through
 // any node, the state service refuses single nodes, nodes are cut from each other (delayed messages
 // arrive in the outage), crash or are paused, and workers reach only some nodes. No task may run
 // longer than cancel_s after its cancellation, and no task may run twice.
@@ -68,8 +68,8 @@
 			}
 		})
 		w.Run(400 * time.Second)
-		for _, b := range w.Violations {
-			t.Errorf("seed %s: %s", strconv.FormatUint(seed, 10), b)
+		for _, violation := range w.Violations {
+			t.Errorf("seed %s: %s", strconv.FormatUint(seed, 10), violation)
 		}
 		killed += w.KilledByLease
 	}
--- a/internal/sim/paused_leader_test.go
+++ b/internal/sim/paused_leader_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("%v: after its pause the old leader sent:%s", gap, requests)
 			}
 			if leads < 0 || w.NodeName(leads) == paused {
-				t.Errorf("%v: nobody took over", gap)
+				t.Errorf("%v: no other node leads", gap)
 			}
 		} else if leads < 0 || w.NodeName(leads) != paused {
 			t.Errorf("%v: the leader changed for a pause shorter than its lease", gap)
--- a/internal/sim/refused_test.go
+++ b/internal/sim/refused_test.go
@@ -54,8 +54,8 @@
 			for k, at := range []time.Duration{-200, -60, -15, 0, 15, 60, 200} {
 				for _, seed := range seeds(t, 2) {
 					w, counts := c.run(uint64(k)*50+seed, at*time.Millisecond)
-					for _, b := range w.Violations {
-						t.Errorf("cancelled %v ms after the refusal, seed %d: %s", int(at), seed, b)
+					for _, violation := range w.Violations {
+						t.Errorf("cancelled %v ms after the refusal, seed %d: %s", int(at), seed, violation)
 					}
 					longest = max(longest, w.LongestCancelled)
 					confirmed, running, answered = confirmed+counts.confirmed, running+counts.running, answered+counts.answered
--- a/internal/sim/relay_test.go
+++ b/internal/sim/relay_test.go
@@ -49,8 +49,8 @@
 		w.State.Outage(20 * time.Second)
 		w.Run(w.now + 4*time.Second)
 		ask("POST", "/v2/runs/j-2/withdraw", nil, "can't be asked", "2s")
-		for _, b := range w.Violations {
-			t.Error(b)
+		for _, violation := range w.Violations {
+			t.Error(violation)
 		}
 	}
 }
--- a/internal/sim/restart_test.go
+++ b/internal/sim/restart_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestRestartBeforeLeaseExpiry guards against a cluster that waits for a lease that nobody
+// TestRestartBeforeLeaseExpiry guards against a cluster that waits for a lease that no process
 // renews: when all controllers are back after 0.2 s, one of them ends the lease of its own
 // earlier process, and a leader is elected long before the lease would have expired.
 func TestRestartBeforeLeaseExpiry(t *testing.T) {
@@ -118,7 +118,7 @@
 			w.Run(w.now + 10*time.Millisecond)
 		}
 		if d := w.now - 40*time.Second; d > 1200*time.Millisecond {
-			t.Errorf("%d nodes: nobody led for %v", nodes, d)
+			t.Errorf("%d nodes: no node led for %v", nodes, d)
 		}
 		w.Run(300 * time.Second)
 		w.checkOutcome(t, 150)
@@ -126,7 +126,7 @@
 }
 
 // TestCrashLoop has one node crash every 0.5 s and read all keys after each restart, 72 pages
-// with 500 ended jobs. The others go on to serve and the leader stays, and the node uses little
+// with 500 ended jobs. The others go on serving and the leader stays, and the node uses little
 // more than its share of the state service's request rate. When a process started with a full
 // burst of requests, the node used 115 of the 250 requests a second.
 func TestCrashLoop(t *testing.T) {
@@ -163,7 +163,7 @@
 	return 0
 }
 
-// TestLeaderKeyOfEarlierVersion starts controllers beside a leader key of an earlier process.
+// TestLeaderKeyOfEarlierVersion starts controllers when a leader key of an earlier process exists.
 // If the key names a lease and a node of this label, that node ends the lease at once. A key
 // without a lease, as an earlier version of the program wrote it, or of another node is left
 // to expire.
@@ -235,7 +235,7 @@
 				cancelledJobs++
 			}
 			if j.reportedDone && j.cancelledAt > 0 {
-				t.Errorf("seed %d: the user was told that %s is done and that it is cancelled", s, j.id)
+				t.Errorf("seed %d: %s was reported both done and cancelled", s, j.id)
 			}
 		}
 	}
--- a/internal/sim/restore_test.go
+++ b/internal/sim/restore_test.go
@@ -85,10 +85,10 @@
 			t.Errorf("a second restore over a running cluster got %v", err)
 		}
 		w.Run(restored + 700*time.Second)
-		for _, b := range w.Violations {
+		for _, violation := range w.Violations {
 			// What happened after the snapshot is lost, so a job can return to an earlier state.
-			if !strings.Contains(b, " went_back:") && !strings.Contains(b, " ran_cancelled:") {
-				t.Errorf("seed %d: %s", seed, b)
+			if !strings.Contains(violation, " went_back:") && !strings.Contains(violation, " ran_cancelled:") {
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 		}
 		if u := w.Unfinished(); len(u) > 0 {
@@ -96,7 +96,7 @@
 		}
 		for _, m := range w.Machines() {
 			if m.up && !m.hanging() && m.token <= token {
-				t.Errorf("seed %d: %s obeys token %d, it had seen %d", seed, m.Name, m.token, token)
+				t.Errorf("seed %d: %s has token %d, not above %d, the highest before the restore", seed, m.Name, m.token, token)
 			}
 		}
 		t.Logf("seed %d: %d keys, %d tasks placed in it, %d writes without an answer, %d tasks started until 40 s after the restore, %d later", seed, counts.Keys, counts.Placed, lostWrites, started, w.Started-started)
--- a/internal/sim/rollout_test.go
+++ b/internal/sim/rollout_test.go
@@ -59,8 +59,8 @@
 // checkNoBrokenRules fails the test for each rule that the world found broken.
 func (w *World) checkNoBrokenRules(t testing.TB) {
 	t.Helper()
-	for _, b := range w.Violations {
-		t.Error(b)
+	for _, violation := range w.Violations {
+		t.Error(violation)
 	}
 }
 
--- a/internal/sim/served_test.go
+++ b/internal/sim/served_test.go
@@ -7,8 +7,8 @@
 	"brooklb/internal/settings"
 )
 
-// TestEveryClassIsServed runs loads under which one class or team could starve beside
-// others, with a change of leader. At least half of the jobs of each class of each team
+// TestEveryClassIsServed runs loads under which the work of others could starve one class
+// or team, with a change of leader. At least half of the jobs of each class of each team
 // are done while the load lasts. The floods, which are more than the machines can do, are
 // exempt, and large jobs are submitted early enough to run through.
 func TestEveryClassIsServed(t *testing.T) {
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -236,7 +236,7 @@
 	ask(0)
 }
 
-// AskService makes a user send a request about a service until it is answered.
+// AskService makes a user send a request about a service until it is accepted or refused.
 func (w *World) AskService(name, verb string, done func(status int, body []byte)) {
 	method, path := "POST", "/services/"+name+"/"+verb
 	if verb == "" || verb == "history" {
@@ -311,9 +311,9 @@
 	s.lostAt = keep
 }
 
-// checkHalt checks the roll-out's lower bound when an instance is stopped by an order:
-// the other instances that are healthy, or were within healthyGrace, or were lost for
-// another reason, must be enough.
+// checkHalt checks the roll-out's lower bound when an order stops an instance: the other
+// instances that are healthy, were healthy within healthyGrace, or were lost for another
+// reason must number at least minInstances.
 func (w *World) checkHalt(r *runner) {
 	s := w.services[r.job.service]
 	if s == nil || r.phase != "running" || s.withdrawn || w.cancellationDurable(r.job) {
--- a/internal/sim/service_requests_test.go
+++ b/internal/sim/service_requests_test.go
@@ -41,8 +41,8 @@
 	}
 	ok := versionJob("j-2", "web:good", 4)
 	red := Job{ID: "j-2", Team: "red", Image: "web:good", ImageGB: 0.1, Tasks: 10, CPUs: 16}
-	far := ok
-	far.Team = "nobody"
+	unknownTeam := ok
+	unknownTeam.Team = "nobody"
 	many := versionJob("j-2", "web:good", 5000)
 	for _, c := range []struct {
 		v    Version
@@ -53,7 +53,7 @@
 		{Version{Service: "shop", Job: ok, From: "j-5", Surge: 1}, 422, "end by themselves"},
 		{Version{Service: "shop", Job: ok, From: "j-1"}, 400, "could ever be replaced"},
 		{Version{Service: "shop", Job: versionJob("j-1", "web:good", 4), Surge: 1}, 409, "id of its own"},
-		{Version{Service: "shop", Job: far, From: "j-1", Surge: 1}, 422, "unknown team"},
+		{Version{Service: "shop", Job: unknownTeam, From: "j-1", Surge: 1}, 422, "unknown team"},
 		{Version{Service: "shop", Job: many, From: "j-1", Surge: 1}, 422, "at most 4096"},
 		{Version{Service: "shop", Job: red, From: "j-6", Surge: 1}, 422, "leaves no room"},
 		{Version{Service: "Shop", Job: ok, From: "j-1", Surge: 1}, 404, "no name of a service"},
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -35,8 +35,8 @@
 // fewer than minDone jobs are done.
 func (w *World) checkOutcome(t *testing.T, minDone int) {
 	t.Helper()
-	for _, b := range w.Violations {
-		t.Error(b)
+	for _, violation := range w.Violations {
+		t.Error(violation)
 	}
 	if len(w.Violations) > 0 {
 		return
@@ -243,13 +243,13 @@
 	w := sevenNodeWorld(3)
 	w.Workload(60, 150*time.Second)
 	w.Run(300 * time.Second)
-	waiting := 0
+	standbyRequests := 0
 	for i := range w.nodes {
 		if i != w.Leader() {
-			waiting += w.State.Requests[w.NodeName(i)]
+			standbyRequests += w.State.Requests[w.NodeName(i)]
 		}
 	}
-	if rate := float64(waiting) / 300; rate > 0.4*120 {
+	if rate := float64(standbyRequests) / 300; rate > 0.4*120 {
 		t.Errorf("six standby nodes send %.0f requests a second", rate)
 	}
 	if w.State.Limited > 0 {
@@ -286,8 +286,8 @@
 	})
 	w.At(30*time.Second, func() { w.Crash(w.Leader(), 2*time.Second) })
 	w.Run(200 * time.Second)
-	for _, b := range w.Violations {
-		t.Error(b)
+	for _, violation := range w.Violations {
+		t.Error(violation)
 	}
 	if w.Started < 12 {
 		t.Errorf("%d tasks started, want at least 12: the intended scenario did not occur", w.Started)
--- a/internal/sim/slow_test.go
+++ b/internal/sim/slow_test.go
@@ -42,8 +42,8 @@
 					}
 				}
 			}
-			for _, b := range w.Violations {
-				t.Error(b)
+			for _, violation := range w.Violations {
+				t.Error(violation)
 			}
 			for id, j := range w.jobs {
 				jobs++
--- a/internal/sim/slowstate_test.go
+++ b/internal/sim/slowstate_test.go
@@ -25,7 +25,7 @@
 		}
 		w.Run(45 * time.Second)
 		token := w.leaderToken()
-		started, polls, refused, good := w.Started, w.Polls, w.RefusedPolls, w.AnsweredPolls
+		started, polls, refused, answered := w.Started, w.Polls, w.RefusedPolls, w.AnsweredPolls
 		w.Run(100 * time.Second)
 		if w.leaderToken() != token {
 			t.Errorf("answers after %v: the leader has changed", slow)
@@ -33,10 +33,10 @@
 		if n := w.Started - started; slow < 2*time.Second && n < 35 {
 			t.Errorf("answers after %v: %d tasks started in 55 s", slow, n)
 		}
-		if n := w.AnsweredPolls - good; slow < 2*time.Second && 3*n < 2*(w.Polls-polls) {
+		if n := w.AnsweredPolls - answered; slow < 2*time.Second && 3*n < 2*(w.Polls-polls) {
 			t.Errorf("answers after %v: %d of %d polls were answered", slow, n, w.Polls-polls)
 		}
-		t.Logf("answers after %v: %d tasks started in 55 s, of %d polls %d were answered, %d refused", slow, w.Started-started, w.Polls-polls, w.AnsweredPolls-good, w.RefusedPolls-refused)
+		t.Logf("answers after %v: %d tasks started in 55 s, of %d polls %d were answered, %d refused", slow, w.Started-started, w.Polls-polls, w.AnsweredPolls-answered, w.RefusedPolls-refused)
 		w.Run(500 * time.Second)
 		w.checkOutcome(t, 100)
 	}
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -73,7 +73,8 @@
 func (s *State) hostName() string { return "state" }
 func (s *State) reachable() bool  { return true }
 
-// Outage makes the service refuse all requests; at its end all leases start anew.
+// Outage makes the service refuse all requests for a while. At its end every lease is valid for
+// its full time again.
 func (s *State) Outage(d time.Duration) {
 	s.outageUntil = s.w.now + d
 	s.w.after(d, func() {
@@ -200,7 +201,7 @@
 	return b
 }
 
-// allow reports whether the rate limits admit a request with that many changes.
+// allow reports whether the rate limits admit a request with the given number of changes.
 func (s *State) allow(writes int) bool {
 	dt := (s.w.now - s.lastRequest).Seconds()
 	s.lastRequest = s.w.now
--- a/internal/sim/units.go
+++ b/internal/sim/units.go
@@ -13,7 +13,7 @@
 	count int
 }
 
-// SetUnits makes an operator send the settings of a resource until that is answered.
+// SetUnits makes an operator send the settings of a resource until they are accepted or refused.
 func (w *World) SetUnits(name string, body map[string]any, done func(status int, answer []byte)) {
 	if n, ok := body["count"].(int); ok {
 		// A start that was decided before the change may be executed after it: see checkUnits.
--- a/internal/sim/units_test.go
+++ b/internal/sim/units_test.go
@@ -12,8 +12,8 @@
 	"brooklb/internal/units"
 )
 
-// resourceLedger asks the leader for its ledger of a resource, for up to two minutes.
-func (w *World) resourceLedger(name string) (v struct {
+// resourceView asks the leader for its view of a resource, for up to two minutes.
+func (w *World) resourceView(name string) (v struct {
 	Count int
 	Live  *struct {
 		Used, Free, Waiting int
@@ -109,8 +109,8 @@
 		if u := w.Unfinished(); len(u) > 0 {
 			t.Errorf("seed %d: unfinished %v", seed, u)
 		}
-		if b := w.resourceLedger("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 5 {
-			t.Errorf("seed %d: at the end the ledger has %+v", seed, b.Live)
+		if b := w.resourceView("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 5 {
+			t.Errorf("seed %d: at the end the leader's view is %+v", seed, b.Live)
 		}
 	}
 	if allFree > 0.2*allUnits {
@@ -159,7 +159,7 @@
 // TestUnitsChange changes the count of a resource while its units are in use, with a change
 // of leader on the way. A lowered count stops no task and lets none start; with the shed
 // option the tasks over the count are stopped. When the resource is removed, its jobs wait
-// and say why; when it is declared again, they go on.
+// and their users get the reason; when it is declared again, the jobs continue.
 func TestUnitsChange(t *testing.T) {
 	w := worldOf(Config{Seed: 98, Nodes: 3})
 	set := func(body map[string]any) {
@@ -182,8 +182,8 @@
 	}
 	w.Run(40 * time.Second)
 	expect(6, "at first")
-	if b := w.resourceLedger("seat"); b.Live == nil || len(b.Live.Holders) != 6 || b.Live.Holders[0].Job != "j-1" || b.Live.Holders[0].Machine == "" || !strings.Contains(b.Live.Holders[0].Until, "end is reported") {
-		t.Errorf("the ledger has %+v", b.Live)
+	if b := w.resourceView("seat"); b.Live == nil || len(b.Live.Holders) != 6 || b.Live.Holders[0].Job != "j-1" || b.Live.Holders[0].Machine == "" || !strings.Contains(b.Live.Holders[0].Until, "end is reported") {
+		t.Errorf("the leader's view is %+v", b.Live)
 	}
 	set(map[string]any{"count": 3})
 	w.Crash(w.Leader(), time.Second)
@@ -201,7 +201,7 @@
 	w.nodes[w.Leader()].serve("x", "GET", "/v2/runs/j-1", nil, func(_ int, b []byte) { why = string(b) })
 	w.Run(w.now + 2*time.Second)
 	if !strings.Contains(why, "resource seat was removed") {
-		t.Errorf("the job says %s", why)
+		t.Errorf("the answer about the job is %s", why)
 	}
 	set(map[string]any{"count": 4})
 	w.Run(w.now + 45*time.Second)
@@ -215,8 +215,8 @@
 	}
 }
 
-// TestUnitsRejections checks which requests about resources are refused, and which jobs
-// that ask for units.
+// TestUnitsRejections checks that invalid requests about resources, and jobs with invalid
+// requests for units, are refused with a reason.
 func TestUnitsRejections(t *testing.T) {
 	w := worldOf(Config{Seed: 99, Nodes: 3})
 	w.Run(5 * time.Second)
@@ -390,8 +390,8 @@
 		if crashes < 5 {
 			t.Errorf("only %d crashes", crashes)
 		}
-		if b := w.resourceLedger("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 4 {
-			t.Errorf("at the end the ledger has %+v", b.Live)
+		if b := w.resourceView("seat"); b.Live == nil || b.Live.Used != 0 || b.Live.Free != 4 {
+			t.Errorf("at the end the leader's view is %+v", b.Live)
 		}
 	}
 }
--- a/internal/sim/unusual_users.go
+++ b/internal/sim/unusual_users.go
@@ -15,7 +15,7 @@
 // This file has unusual behaviour of users: they cancel many jobs at once, cancel a job at
 // the moment of its end, repeat submissions, and submit jobs that can't run.
 
-// jobIDs are the IDs of the jobs in their order.
+// jobIDs are the IDs of the jobs in ascending order.
 func (w *World) jobIDs() []string { return slices.Sorted(maps.Keys(w.jobs)) }
 
 // CancelRunning makes users cancel up to n running jobs within 200 ms; each is a service or
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -46,9 +46,9 @@
 	nodeIndex                  int
 	connected, silenceReported bool
 	unansweredSince            time.Duration
-	submission                 []byte // as it was submitted
-	// startableSince is since when there has been room without interruption for its tasks
-	// that wait; 0: there is no room.
+	submission                 []byte // the body of the request that submits the job
+	// startableSince is when machines began to have room for its waiting tasks, without an
+	// interruption since; 0: there is no room.
 	startableSince time.Duration
 	waitReported   bool
 }
@@ -221,8 +221,8 @@
 	return worst
 }
 
-// checkAnswer checks an answer to a user, whose request was sent at sentAt. The answer to
-// a request that was sent before a newer answer arrived may be the older one.
+// checkAnswer checks an answer to a user, whose request was sent at sentAt. If another answer
+// arrived after sentAt, this answer may still show an older state.
 func (w *World) checkAnswer(j *userJob, body []byte, sentAt time.Duration) {
 	var r struct{ Ref, Phase string }
 	if err := json.Unmarshal(body, &r); err != nil || r.Ref != j.id {
@@ -284,7 +284,7 @@
 	})
 }
 
-// cancel makes the user cancel the job until that is answered, once it was accepted.
+// cancel makes the user cancel the job once it is accepted, and retry until the answer is 200 or 404.
 func (w *World) cancel(j *userJob) {
 	if !j.accepted {
 		w.after(time.Second, func() { w.cancel(j) })
--- a/internal/sim/waiting.go
+++ b/internal/sim/waiting.go
@@ -19,25 +19,25 @@
 }
 
 func (w *World) view() *view {
-	l := &view{runners: map[*userJob][]*runner{}, use: map[string][2]float64{}, free: map[*Machine][2]float64{}}
+	v := &view{runners: map[*userJob][]*runner{}, use: map[string][2]float64{}, free: map[*Machine][2]float64{}}
 	for _, m := range w.Machines() {
 		cpus, gpus := w.cfg.CPUs, w.cfg.GPUs
 		for _, r := range m.sortedTasks() {
 			if r.phase == "ended" {
 				continue
 			}
-			l.runners[r.job] = append(l.runners[r.job], r)
+			v.runners[r.job] = append(v.runners[r.job], r)
 			cpus -= r.job.cpus
 			gpus -= r.job.gpus
-			u := l.use[r.job.team]
-			l.use[r.job.team] = [2]float64{u[0] + r.job.cpus, u[1] + r.job.gpus}
+			u := v.use[r.job.team]
+			v.use[r.job.team] = [2]float64{u[0] + r.job.cpus, u[1] + r.job.gpus}
 		}
 		if m.up && m.interruptionAt == 0 && !m.hanging() && !m.outboundBlocked() && !m.losesInbound() && !w.cutOff(m) {
-			l.machines = append(l.machines, m)
-			l.free[m] = [2]float64{cpus, gpus}
+			v.machines = append(v.machines, m)
+			v.free[m] = [2]float64{cpus, gpus}
 		}
 	}
-	return l
+	return v
 }
 
 // cutOff reports whether the network between the machine and some controller is cut.
@@ -51,9 +51,9 @@
 }
 
 // unstarted is the number of the job's tasks that are neither done nor on a machine.
-func (l *view) unstarted(j *userJob) int {
+func (v *view) unstarted(j *userJob) int {
 	on := map[int]bool{}
-	for _, r := range l.runners[j] {
+	for _, r := range v.runners[j] {
 		on[r.task] = true
 	}
 	n := 0
@@ -67,8 +67,8 @@
 
 // fits reports whether waiting tasks of the job could be started now: one task of an array
 // or a service, all missing tasks of a gang.
-func (w *World) fits(l *view, j *userJob) bool {
-	unstarted := l.unstarted(j)
+func (w *World) fits(v *view, j *userJob) bool {
+	unstarted := v.unstarted(j)
 	if unstarted == 0 {
 		return false
 	}
@@ -77,22 +77,22 @@
 		n = unstarted
 	}
 	for _, t := range w.cfg.Teams {
-		if u := l.use[t.Name]; t.Name == j.team && over(t, u[0]+float64(n)*j.cpus, u[1]+float64(n)*j.gpus) {
+		if u := v.use[t.Name]; t.Name == j.team && over(t, u[0]+float64(n)*j.cpus, u[1]+float64(n)*j.gpus) {
 			return false
 		}
 	}
 	tasksByZone := map[string]int{} // the job's tasks by zone
 	zoneInUse := ""
-	for _, r := range l.runners[j] {
+	for _, r := range v.runners[j] {
 		tasksByZone[r.m.Zone]++
 		zoneInUse = r.m.Zone
 	}
 	byZone := map[string]int{}
-	for _, m := range l.machines {
+	for _, m := range v.machines {
 		if j.zone != "" && m.Zone != j.zone || m.Spot && !j.spot || j.samePlace && zoneInUse != "" && m.Zone != zoneInUse {
 			continue
 		}
-		k, f := n, l.free[m]
+		k, f := n, v.free[m]
 		for k > 0 && (float64(k)*j.cpus > f[0]+1e-6 || float64(k)*j.gpus > f[1]+1e-6) {
 			k--
 		}
@@ -125,10 +125,10 @@
 	if w.FaultsEndAt == 0 || w.now < w.FaultsEndAt {
 		return
 	}
-	l := w.view()
+	v := w.view()
 	for _, id := range w.jobIDs() {
 		j := w.jobs[id]
-		if !j.accepted || j.cancelAsked || j.cancelledAt > 0 || j.reportedDone || j.faulty || j.service != "" || len(j.units) > 0 || !w.fits(l, j) {
+		if !j.accepted || j.cancelAsked || j.cancelledAt > 0 || j.reportedDone || j.faulty || j.service != "" || len(j.units) > 0 || !w.fits(v, j) {
 			j.startableSince = 0
 			continue
 		}
@@ -139,7 +139,7 @@
 		w.LongestWait = max(w.LongestWait, wait)
 		if wait > maxWait && !j.waitReported {
 			j.waitReported = true
-			w.reportViolation("waited", "%s (%s of %d, %v CPUs, %v GPUs, %s) has %d tasks that were not started since %.1f s, although there is room", j.id, j.kind, j.tasks, j.cpus, j.gpus, j.team, l.unstarted(j), j.startableSince.Seconds())
+			w.reportViolation("waited", "%s (%s of %d, %v CPUs, %v GPUs, %s) has %d tasks that were not started since %.1f s, although there is room", j.id, j.kind, j.tasks, j.cpus, j.gpus, j.team, v.unstarted(j), j.startableSince.Seconds())
 		}
 	}
 }
