--- a/cmd/brooklb/state.go
+++ b/cmd/brooklb/state.go
@@ -114,7 +114,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d keys at revision %d in %s\n", len(s.Items), s.Epoch, args[0])
+			fmt.Fprintf(c.OutOrStdout(), "%d keys at revision %d in %s\n", len(s.Items), s.Revision, args[0])
 			return nil
 		}})
 }
@@ -132,7 +132,7 @@
 			if key != "" {
 				for i := range s.Items {
 					if it := &s.Items[i]; it.Path == key {
-						fmt.Fprintf(c.OutOrStdout(), "%s\nrevision %d\n%s\n", it.Path, it.Stamp, it.Value)
+						fmt.Fprintf(c.OutOrStdout(), "%s\nrevision %d\n%s\n", it.Path, it.Revision, it.Value)
 						return nil
 					}
 				}
@@ -149,15 +149,15 @@
 func printCounts(out io.Writer, s *snapshot.Snapshot, n snapshot.Counts, asJSON bool) error {
 	if asJSON {
 		b, err := json.Marshal(struct {
-			Epoch uint64 `json:"epoch"`
-			AtMS  int64  `json:"at_ms"`
+			Revision uint64 `json:"epoch"`
+			AtMS     int64  `json:"at_ms"`
 			snapshot.Counts
-		}{s.Epoch, s.AtMS, n})
+		}{s.Revision, s.AtMS, n})
 		fmt.Fprintln(out, string(b))
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	fmt.Fprintf(w, "taken\t%s, revision %d\n", time.UnixMilli(s.AtMS).Format("2006-01-02 15:04:05"), s.Epoch)
+	fmt.Fprintf(w, "taken\t%s, revision %d\n", time.UnixMilli(s.AtMS).Format("2006-01-02 15:04:05"), s.Revision)
 	fmt.Fprintf(w, "keys\t%d, %d bytes\n", n.Keys, n.Bytes)
 	fmt.Fprintf(w, "jobs\t%d open, %d done, %d cancelled\n", n.Jobs["open"], n.Jobs["done"], n.Jobs["cancelled"])
 	fmt.Fprintf(w, "tasks\t%d placed on %d machines, %d done of open jobs, in %d chunks\n", n.Placed, n.Machines, n.DoneTasks, n.Chunks)
--- a/cmd/brooklb/units.go
+++ b/cmd/brooklb/units.go
@@ -195,14 +195,14 @@
 				body["shed"] = true
 			}
 			if len(teams) > 0 {
-				m := map[string]wire.Part{}
+				m := map[string]wire.TeamLimits{}
 				for _, t := range teams {
 					f := strings.Split(t, ":")
 					share, err := strconv.Atoi(f[min(1, len(f)-1)])
 					if len(f) < 2 || len(f) > 3 || err != nil {
 						return usageError{fmt.Errorf("--team %q is not of the form TEAM:SHARE or TEAM:SHARE:MOST", t)}
 					}
-					p := wire.Part{Share: share}
+					p := wire.TeamLimits{Share: share}
 					if len(f) == 3 {
 						if p.Most, err = strconv.Atoi(f[2]); err != nil {
 							return usageError{fmt.Errorf("--team %q is not of the form TEAM:SHARE or TEAM:SHARE:MOST", t)}
--- a/cmd/brooklb/user.go
+++ b/cmd/brooklb/user.go
@@ -228,10 +228,10 @@
 		}
 		fmt.Fprintf(w, "\nCLASS\tTEAM\tJOBS\tWITHIN FLOOR\tTASKS WAITING\tPLACED\n")
 		for _, c := range o.Classes {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\n", c.Class, c.Team, c.Jobs, c.Floor, c.Waiting, c.Placed)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\n", c.Class, c.Team, c.Jobs, c.WithinMinShare, c.Waiting, c.Placed)
 		}
-		if admission := o.Admission; admission != nil && (admission.AdmitFraction < 1 || len(admission.ClosedClasses) > 0) {
-			fmt.Fprintf(w, "\noverload: %.0f%% of what could be taken in is handed out, writes are %.1f s behind, shut: %s\n", 100*admission.AdmitFraction, admission.WriteBacklogS, strings.Join(admission.ClosedClasses, ", "))
+		if admission := o.Admission; admission != nil && (admission.AdmitFraction < 1 || len(admission.BlockedClasses) > 0) {
+			fmt.Fprintf(w, "\noverload: %.0f%% of what could be taken in is handed out, writes are %.1f s behind, shut: %s\n", 100*admission.AdmitFraction, admission.WriteBacklogS, strings.Join(admission.BlockedClasses, ", "))
 		}
 		fmt.Fprintf(w, "\n%d jobs, %d waiting with %d tasks, %d at fault themselves\n", o.Jobs.Open, o.Jobs.Waiting, o.Jobs.WaitingTasks, o.Jobs.AtFault)
 		if len(o.Queue) > 0 {
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -33,7 +33,7 @@
 	// Live returns the leader's own counts of a job. ok is false if this node doesn't lead or
 	// doesn't know the job.
 	Live func(id string) (done, running int, why string, ok bool)
-	// Relay forwards a request to a node that may be able to answer it. It returns false if
+	// Relay relays a request to a node that may be able to answer it. It returns false if
 	// there is none.
 	Relay func(r *httpx.Request, done func(resp httpx.Response, ok bool)) bool
 	// CheckUnits returns an error if a job could never have the counted resources that it asks
@@ -69,8 +69,8 @@
 }
 
 // Serve answers a user's request; it returns false for paths that other packages serve. A
-// request that can't be answered because the state service can't be reached is forwarded once
-// to another node, unless another node has forwarded it to this one.
+// request that can't be answered because the state service can't be reached is relayed once
+// to another node, unless another node has relayed it to this one.
 func (a *Actor) Serve(r *httpx.Request, relayed bool, reply func(httpx.Response)) bool {
 	if relayed || a.Relay == nil || r.Path == wire.PathHealth {
 		return a.serve(r, reply)
@@ -79,7 +79,7 @@
 	saved := &httpx.Request{Method: r.Method, Path: r.Path, Body: append([]byte(nil), r.Body...)}
 	return a.serve(r, func(resp httpx.Response) {
 		if resp.Status != answer.Unavailable.Status || !bytes.Equal(resp.Body, answer.Unavailable.Body) ||
-			// Polls are frequent and repeated, so they are forwarded only if this node is cut
+			// Polls are frequent and repeated, so they are relayed only if this node is cut
 			// off.
 			saved.Method == "GET" && !a.cutOff() ||
 			!a.Relay(saved, func(other httpx.Response, ok bool) {
@@ -413,7 +413,7 @@
 			return
 		}
 		rec.Final, rec.Why = ledger.Cancelled, "cancelled by its user"
-		t := wire.Txn{When: []wire.Cond{{Path: key, Stamp: it.Stamp}}, Apply: []wire.Change{{Write: key, Value: rec.Encode()}}}
+		t := wire.Txn{When: []wire.Cond{{Path: key, Revision: it.Revision}}, Apply: []wire.Change{{Write: key, Value: rec.Encode()}}}
 		a.store.Commit(t, false, func(r statestore.Result, _ uint64, _ []string) {
 			switch {
 			case r == statestore.OK:
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,7 +11,7 @@
 // TestNeverRuns checks that a job is refused if it can never run. There are two machine types,
 // of which neither is in every zone, and team limits in CPUs.
 func TestNeverRuns(t *testing.T) {
-	a := &Actor{teams: map[string]settings.Team{"t": {Name: "t", CPUs: 10, CPUsMax: 40}, "free": {Name: "free"}}, types: []model.MachineType{
+	a := &Actor{teams: map[string]settings.Team{"t": {Name: "t", GuaranteedCPUs: 10, MaxCPUs: 40}, "free": {Name: "free"}}, types: []model.MachineType{
 		{Name: "small", Cap: model.Resources{CPUs: 4, MemGB: 16}, Zones: []string{"a", "b"}},
 		{Name: "large", Cap: model.Resources{CPUs: 16, MemGB: 64}, Zones: []string{"a", "c"}},
 	}}
@@ -42,7 +42,7 @@
 			t.Errorf("%s: %v, want %q", c.name, err, c.why)
 		}
 	}
-	a.teams["t"] = settings.Team{Name: "t", CPUsMax: 3}
+	a.teams["t"] = settings.Team{Name: "t", MaxCPUs: 3}
 	if err := a.check(&model.Spec{Team: "t", Tasks: 5, Resources: model.Resources{CPUs: 4}}); err == nil || !strings.Contains(err.Error(), "limit") {
 		t.Errorf("a limit below one task: %v", err)
 	}
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -15,6 +15,6 @@
 	return httpx.Response{Status: status, RetryAfter: retryAfter, Body: wire.Error(fmt.Sprintf(format, args...))}
 }
 
-// Unavailable is the response while the state service can't be reached. A node forwards
+// Unavailable is the response while the state service can't be reached. A node relays
 // requests that get it to a node that can reach the service, if it knows one.
 var Unavailable = Refuse(http.StatusServiceUnavailable, 1, "the state service can't be asked, come back")
--- a/internal/cancellation/cancellation.go
+++ b/internal/cancellation/cancellation.go
@@ -34,17 +34,17 @@
 
 // Record is the record of a cancelled job as the state service stores it.
 type Record struct {
-	Key   string `cbor:"1,keyasint"`
-	Value []byte `cbor:"2,keyasint"`
-	Stamp uint64 `cbor:"3,keyasint"`
+	Key      string `cbor:"1,keyasint"`
+	Value    []byte `cbor:"2,keyasint"`
+	Revision uint64 `cbor:"3,keyasint"`
 }
 
 // Question is part of each status that a leader sends: its token, its clock in
 // milliseconds, and the revision up to which its replica is complete.
 type Question struct {
-	Token uint64 `cbor:"1,keyasint"`
-	Clock uint64 `cbor:"2,keyasint"`
-	Epoch uint64 `cbor:"3,keyasint"`
+	Token    uint64 `cbor:"1,keyasint"`
+	Clock    uint64 `cbor:"2,keyasint"`
+	Revision uint64 `cbor:"3,keyasint"`
 }
 
 // Answer has the cancellations that a node knows beyond the question's revision. Complete
@@ -81,10 +81,10 @@
 	store.OnResync(func() {
 		// Individual changes were missed: any record in the replica may be one of them.
 		for _, known := range r.recent {
-			r.incompleteUpTo = max(r.incompleteUpTo, known.Stamp)
+			r.incompleteUpTo = max(r.incompleteUpTo, known.Revision)
 		}
 		r.recent = nil
-		store.Each(ledger.JobPrefix, func(_ string, it statestore.Item) { r.incompleteUpTo = max(r.incompleteUpTo, it.Stamp) })
+		store.Each(ledger.JobPrefix, func(_ string, it statestore.Item) { r.incompleteUpTo = max(r.incompleteUpTo, it.Revision) })
 	})
 	return r
 }
@@ -95,21 +95,21 @@
 	}
 	rec, err := ledger.DecodeRecord(key[len(ledger.JobPrefix):], it.Value)
 	if err != nil {
-		r.incompleteUpTo = max(r.incompleteUpTo, it.Stamp) // it may be a cancellation
+		r.incompleteUpTo = max(r.incompleteUpTo, it.Revision) // it may be a cancellation
 		return
 	}
 	if rec.Final != ledger.Cancelled {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(r.recent, it.Stamp, func(known Record, stamp uint64) int {
-		if known.Stamp < stamp {
+	i, _ := slices.BinarySearchFunc(r.recent, it.Revision, func(known Record, revision uint64) int {
+		if known.Revision < revision {
 			return -1
 		}
 		return 1
 	})
-	r.recent = slices.Insert(r.recent, i, Record{key, it.Value, it.Stamp})
+	r.recent = slices.Insert(r.recent, i, Record{key, it.Value, it.Revision})
 	if len(r.recent) > maxRecent {
-		r.incompleteUpTo = max(r.incompleteUpTo, r.recent[0].Stamp)
+		r.incompleteUpTo = max(r.incompleteUpTo, r.recent[0].Revision)
 		r.recent = slices.Delete(r.recent, 0, 1)
 	}
 }
@@ -128,10 +128,10 @@
 	if r.lastQuestion.Token == 0 || elected {
 		return nil
 	}
-	a := &Answer{Token: r.lastQuestion.Token, Clock: r.lastQuestion.Clock, Complete: r.store.Synced() && r.lastQuestion.Epoch >= r.incompleteUpTo}
+	a := &Answer{Token: r.lastQuestion.Token, Clock: r.lastQuestion.Clock, Complete: r.store.Synced() && r.lastQuestion.Revision >= r.incompleteUpTo}
 	size := 0
 	for _, known := range r.recent {
-		if known.Stamp <= r.lastQuestion.Epoch {
+		if known.Revision <= r.lastQuestion.Revision {
 			continue
 		}
 		if size += len(known.Key) + len(known.Value); size > maxAnswerBytes {
@@ -160,8 +160,8 @@
 
 // NewQuestion returns the leader's question at the given time of its clock, with the revision
 // up to which its replica is complete.
-func (t *Tracker) NewQuestion(now time.Duration, epoch uint64) *Question {
-	return &Question{Token: t.token, Clock: uint64(now.Milliseconds()), Epoch: epoch}
+func (t *Tracker) NewQuestion(now time.Duration, revision uint64) *Question {
+	return &Question{Token: t.token, Clock: uint64(now.Milliseconds()), Revision: revision}
 }
 
 // HandleAnswer processes an answer after the leader has added its records to the replica.
--- a/internal/cancellation/cancellation_test.go
+++ b/internal/cancellation/cancellation_test.go
@@ -16,11 +16,11 @@
 
 // replica is a node's store, which the test changes directly.
 type replica struct {
-	items  map[string]statestore.Item
-	epoch  uint64
-	synced bool
-	subs   []func(string, *statestore.Item)
-	resync []func()
+	items    map[string]statestore.Item
+	revision uint64
+	synced   bool
+	subs     []func(string, *statestore.Item)
+	resync   []func()
 }
 
 func (r *replica) Subscribe(f func(string, *statestore.Item)) { r.subs = append(r.subs, f) }
@@ -32,7 +32,7 @@
 	}
 }
 func (r *replica) put(key string, it statestore.Item) {
-	if r.items[key].Stamp >= it.Stamp {
+	if r.items[key].Revision >= it.Revision {
 		return
 	}
 	r.items[key] = it
@@ -64,9 +64,9 @@
 
 // userAnswer is a cancellation that a user was informed of.
 type userAnswer struct {
-	key   string
-	stamp uint64
-	at    time.Duration
+	key      string
+	revision uint64
+	at       time.Duration
 }
 
 // TestNoUnknownCancellationReported simulates random histories of one leader (node 0) and two
@@ -85,7 +85,7 @@
 		r := rand.New(rand.NewPCG(seed, 3))
 		now := time.Second
 		state := map[string]statestore.Item{} // of the state service
-		epoch := uint64(1)
+		revision := uint64(1)
 		nodes := []*node{newNode(), newNode(), newNode()}
 		peers := []string{"1", "2"}
 		tracker := NewTracker(7, peers)
@@ -108,7 +108,7 @@
 				for k, it := range state {
 					n.items[k] = it
 				}
-				n.epoch = epoch
+				n.revision = revision
 				for _, f := range n.resync {
 					f()
 				}
@@ -117,7 +117,7 @@
 			for k, it := range state {
 				n.put(k, it)
 			}
-			n.epoch, n.synced = epoch, true
+			n.revision, n.synced = revision, true
 		}
 		for _, n := range nodes {
 			readReplica(n)
@@ -130,29 +130,29 @@
 				now += time.Duration(r.IntN(3000)) * time.Millisecond
 			case 2, 3: // a job is cancelled through the node
 				if !refused[k] && n.synced {
-					epoch++
+					revision++
 					key := ledger.JobKey(id(step))
-					it := statestore.Item{Value: record(t, step, ledger.Cancelled), Stamp: epoch}
+					it := statestore.Item{Value: record(t, step, ledger.Cancelled), Revision: revision}
 					state[key] = it
 					n.put(key, it)
-					userAnswers = append(userAnswers, userAnswer{key, epoch, now})
+					userAnswers = append(userAnswers, userAnswer{key, revision, now})
 				}
 			case 4: // another record changes
-				epoch++
-				state[ledger.JobKey(id(1000+step))] = statestore.Item{Value: record(t, 1000+step, ledger.Open), Stamp: epoch}
+				revision++
+				state[ledger.JobKey(id(1000+step))] = statestore.Item{Value: record(t, 1000+step, ledger.Open), Revision: revision}
 			case 5: // the watch delivers all changes
 				if !refused[k] && n.synced {
 					for key, it := range state {
 						n.put(key, it)
 					}
-					n.epoch = epoch
+					n.revision = revision
 				}
 			case 6: // a user's poll reads one record
 				if !refused[k] && n.synced {
 					for key, it := range state {
 						n.put(key, it)
 						if rec, _ := ledger.DecodeRecord(key[len(ledger.JobPrefix):], it.Value); rec.Final == ledger.Cancelled {
-							userAnswers = append(userAnswers, userAnswer{key, it.Stamp, now})
+							userAnswers = append(userAnswers, userAnswer{key, it.Revision, now})
 						}
 						break
 					}
@@ -173,7 +173,7 @@
 				}
 			case 9:
 				for i := range peers {
-					questions = append(questions, question{1 + i, *tracker.NewQuestion(now, nodes[0].epoch)})
+					questions = append(questions, question{1 + i, *tracker.NewQuestion(now, nodes[0].revision)})
 				}
 			case 10, 11, 12, 13:
 				if k > 0 {
@@ -190,7 +190,7 @@
 				if len(answers) > 0 {
 					a := answers[pickMessage(r, len(answers))]
 					for _, rec := range a.a.Records {
-						nodes[0].put(rec.Key, statestore.Item{Value: rec.Value, Stamp: rec.Stamp})
+						nodes[0].put(rec.Key, statestore.Item{Value: rec.Value, Revision: rec.Revision})
 					}
 					tracker.HandleAnswer(strconv.Itoa(a.from), &a.a)
 				}
@@ -206,7 +206,7 @@
 				stepsWithTime++
 			}
 			for _, u := range userAnswers {
-				if nodes[0].items[u.key].Stamp < u.stamp && completeUntil > u.at {
+				if nodes[0].items[u.key].Revision < u.revision && completeUntil > u.at {
 					t.Fatalf("seed %d, step %d: complete until %v, but a user was informed of %s at %v", seed, step, completeUntil, u.key, u.at)
 				}
 			}
@@ -235,19 +235,19 @@
 	n := newNode()
 	n.synced = true
 	for i := range maxRecent + 10 {
-		n.put(ledger.JobKey(id(i)), statestore.Item{Value: record(t, i, ledger.Cancelled), Stamp: uint64(10 + i)})
+		n.put(ledger.JobKey(id(i)), statestore.Item{Value: record(t, i, ledger.Cancelled), Revision: uint64(10 + i)})
 	}
 	for _, c := range []struct {
-		epoch uint64
-		all   bool
-		n     int
+		revision uint64
+		all      bool
+		n        int
 	}{{5, false, maxRecent}, {18, false, maxRecent}, {19, true, maxRecent}, {10 + maxRecent + 9, true, 0}} {
-		n.responder.HandleQuestion(Question{Token: 7, Clock: c.epoch, Epoch: c.epoch})
+		n.responder.HandleQuestion(Question{Token: 7, Clock: c.revision, Revision: c.revision})
 		if a := n.responder.Respond(false); a.Complete != c.all || len(a.Records) != c.n {
-			t.Errorf("a leader that knows up to %d gets %d records, complete %v", c.epoch, len(a.Records), a.Complete)
+			t.Errorf("a leader that knows up to %d gets %d records, complete %v", c.revision, len(a.Records), a.Complete)
 		}
 	}
-	n.put(ledger.JobKey(id(500)), statestore.Item{Value: []byte(`{"v":99}`), Stamp: 500})
+	n.put(ledger.JobKey(id(500)), statestore.Item{Value: []byte(`{"v":99}`), Revision: 500})
 	if a := n.responder.Respond(false); a.Complete {
 		t.Error("answer is complete despite a record that can't be decoded, which may be a cancellation")
 	}
@@ -256,9 +256,9 @@
 	for i := range 30 {
 		rec := ledger.NewRecord(&model.Spec{ID: id(i), Team: "t", Tasks: 1, Image: string(make([]byte, 300))}, 0, "", 48)
 		rec.Final = ledger.Cancelled
-		big.put(ledger.JobKey(id(i)), statestore.Item{Value: rec.Encode(), Stamp: uint64(10 + i)})
+		big.put(ledger.JobKey(id(i)), statestore.Item{Value: rec.Encode(), Revision: uint64(10 + i)})
 	}
-	big.responder.HandleQuestion(Question{Token: 7, Clock: 1, Epoch: 5})
+	big.responder.HandleQuestion(Question{Token: 7, Clock: 1, Revision: 5})
 	if a := big.responder.Respond(false); a.Complete || len(a.Records) == 0 || len(a.Records) == 30 {
 		t.Errorf("%d records in one message, complete %v", len(a.Records), a.Complete)
 	}
@@ -272,27 +272,27 @@
 func TestResync(t *testing.T) {
 	n := newNode()
 	n.synced = true
-	n.put(ledger.JobKey(id(1)), statestore.Item{Value: record(t, 1, ledger.Cancelled), Stamp: 40})
+	n.put(ledger.JobKey(id(1)), statestore.Item{Value: record(t, 1, ledger.Cancelled), Revision: 40})
 	// The resync read its pages before this change, and they contain another change that
 	// the watch had missed.
-	n.items = map[string]statestore.Item{ledger.JobKey(id(2)): {Value: record(t, 2, ledger.Cancelled), Stamp: 30}}
+	n.items = map[string]statestore.Item{ledger.JobKey(id(2)): {Value: record(t, 2, ledger.Cancelled), Revision: 30}}
 	for _, f := range n.resync {
 		f()
 	}
-	for epoch, all := range map[uint64]bool{29: false, 39: false, 40: true} {
+	for revision, all := range map[uint64]bool{29: false, 39: false, 40: true} {
 		n.responder.lastQuestion = Question{}
-		n.responder.HandleQuestion(Question{Token: 7, Clock: 1, Epoch: epoch})
+		n.responder.HandleQuestion(Question{Token: 7, Clock: 1, Revision: revision})
 		if a := n.responder.Respond(false); a.Complete != all {
-			t.Errorf("a leader that knows up to %d gets an answer with complete %v", epoch, a.Complete)
+			t.Errorf("a leader that knows up to %d gets an answer with complete %v", revision, a.Complete)
 		}
 	}
 	m := newNode()
 	m.synced = true
-	m.items = map[string]statestore.Item{ledger.JobKey(id(2)): {Value: record(t, 2, ledger.Cancelled), Stamp: 30}}
+	m.items = map[string]statestore.Item{ledger.JobKey(id(2)): {Value: record(t, 2, ledger.Cancelled), Revision: 30}}
 	for _, f := range m.resync {
 		f()
 	}
-	m.responder.HandleQuestion(Question{Token: 7, Clock: 1, Epoch: 29})
+	m.responder.HandleQuestion(Question{Token: 7, Clock: 1, Revision: 29})
 	if m.responder.Respond(false).Complete {
 		t.Error("answer is complete despite a missed change in the pages")
 	}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestAsk checks that the client retries temporary refusals after the pause that Retry-After
-// asks for, goes on to the next node after a failure, and doesn't retry final responses.
+// asks for, continues with the next node after a failure, and doesn't retry final responses.
 func TestAsk(t *testing.T) {
 	n := 0
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/consolidate/consolidate_test.go
+++ b/internal/consolidate/consolidate_test.go
@@ -61,7 +61,7 @@
 
 func (c *testCluster) jobOf(s model.Spec) *ledger.Job {
 	rec := ledger.NewRecord(&s, 0, "", 48)
-	c.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(c.n)})
+	c.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Revision: uint64(c.n)})
 	return c.l.Jobs[s.ID]
 }
 
--- a/internal/dev/controllers.go
+++ b/internal/dev/controllers.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// freeze stops the process for d, during which its clocks go on.
+// freeze stops the process for d, during which its clocks keep running.
 func (k *controller) freeze(d time.Duration) {
 	generation, p := k.generation, k.cmd.Process
 	if p.Signal(syscall.SIGSTOP) != nil {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -55,7 +55,7 @@
 
 // teams are the configured teams. Team free has no guarantee and uses what red and
 // blue leave over.
-var teams = []settings.Team{{Name: "red", CPUs: 32, CPUsMax: 96}, {Name: "blue", CPUs: 32}, {Name: "free"}}
+var teams = []settings.Team{{Name: "red", GuaranteedCPUs: 32, MaxCPUs: 96}, {Name: "blue", GuaranteedCPUs: 32}, {Name: "free"}}
 
 // Cluster is a running cluster.
 type Cluster struct {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -195,9 +195,9 @@
 // changed. Those matter only to the leader, and prices change often.
 func (a *Actor) publishTypes(ts []model.MachineType) {
 	types := append([]model.MachineType(nil), ts...)
-	stamp := uint64(0)
+	revision := uint64(0)
 	if it, ok := a.store.Peek(TypesKey); ok {
-		stamp = it.Stamp
+		revision = it.Revision
 		old, err := DecodeTypes(it.Value)
 		if err == nil && len(old) == len(types) {
 			same := true
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Stamp: a.token}, {Path: TypesKey, Stamp: stamp}},
+	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Revision: a.token}, {Path: TypesKey, Revision: revision}},
 		Apply: []wire.Change{{Write: TypesKey, Value: EncodeTypes(types)}}}
 	a.store.Commit(t, true, func(r statestore.Result, _ uint64, _ []string) {
 		if r != statestore.OK {
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -102,7 +102,7 @@
 // Its return then makes certain that it is gone.
 //
 // Machines are named in the order of their creation. A list with a later name is therefore
-// newer than a machine that is absent from it, and that machine is gone, whatever its age.
+// newer than a machine that is absent from it, and that machine is gone, regardless of its age.
 // Without a later name the list may lag, at times by more than the settings say.
 func (a *Actor) returnUnlisted() {
 	now := a.env.Now()
--- a/internal/fleet/rent_test.go
+++ b/internal/fleet/rent_test.go
@@ -43,7 +43,7 @@
 		v.Machines = placement.Candidates(l, v)
 		full := func(id string, tasks int, gpus float64) {
 			s := &model.Spec{ID: id, Team: "free", Tasks: tasks, Resources: model.Resources{GPUs: gpus}, EstimateS: 1000}
-			l.ApplyJobRecord(ledger.JobKey(id), &statestore.Item{Value: ledger.NewRecord(s, 60000, "", 48).Encode(), Stamp: 1})
+			l.ApplyJobRecord(ledger.JobKey(id), &statestore.Item{Value: ledger.NewRecord(s, 60000, "", 48).Encode(), Revision: 1})
 		}
 		full("j-0", 1000, 8)
 		placement.Run(l, v, l.Order(), func(*ledger.Job) {})
--- a/internal/fleet/return.go
+++ b/internal/fleet/return.go
@@ -89,7 +89,7 @@
 			silent := now - max(m.LastReport, a.began+5*time.Second)
 			// A hung machine may resume, and its tasks wait until then. They can start
 			// elsewhere once it is returned. If most machines of a zone are silent, the
-			// zone is probably partitioned from this node and its machines go on working.
+			// zone is probably partitioned from this node and its machines keep working.
 			if silent > maxSilence && 2*alive[m.Zone] >= total[m.Zone] && alive[m.Zone] > 0 && (len(m.Placements) > 0 || silent > 2*maxSilence) {
 				a.Return(m, "silent")
 				continue
@@ -113,7 +113,7 @@
 		return 40 * time.Second
 	}
 	if t := a.led.Types[m.Type]; t != nil {
-		// Where all boots are slow, a replacement would come up no sooner. The time is
+		// Where all boots are slow, a replacement would come up no earlier. The time is
 		// limited, since machines that never come up raise the estimated boot time for
 		// as long as they are kept.
 		nominal := time.Duration(t.BootS * float64(time.Second))
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -78,7 +78,7 @@
 	})
 }
 
-// answerAll answers all reports that are passed on.
+// answerAll answers all reports that are forwarded.
 func (n *testNode) answerAll(t *testing.T) {
 	t.Helper()
 	for len(n.env.calls) > 0 {
@@ -108,7 +108,7 @@
 	c.Done(actor.Answer{Status: 200, Body: EncodeAnswers(true, answers)})
 }
 
-// TestReports checks that reports are passed on in batches and that each worker gets the
+// TestReports checks that reports are forwarded in batches and that each worker gets the
 // leader's answer to its own report.
 func TestReports(t *testing.T) {
 	n := newTestNode()
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestNothingIsPassedOnTwice checks that reports that may have reached a leader are refused,
+// TestNothingIsForwardedTwice checks that reports that may have reached a leader are refused,
 // and that those that certainly have not are sent again.
-func TestNothingIsPassedOnTwice(t *testing.T) {
+func TestNothingIsForwardedTwice(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		with  actor.Answer
@@ -184,7 +184,7 @@
 		t.Errorf("to %s, answers %v", c.Addr, n.answers)
 	}
 	if reportTimeout >= 4*time.Second {
-		t.Error("a worker gives up sooner")
+		t.Error("a worker gives up before a queued report is refused")
 	}
 }
 
@@ -228,7 +228,7 @@
 	n.report(t, "new")
 	n.env.advance(batchInterval)
 	if n.answerAll(t); n.answers["new"].Status != 200 {
-		t.Error("a report after the pause was not passed on")
+		t.Error("a report after the pause was not forwarded")
 	}
 }
 
@@ -253,7 +253,7 @@
 	}
 }
 
-// TestOrders checks that a leader's orders are sent, and their results passed on.
+// TestOrders checks that a leader's orders are sent, and their results forwarded.
 func TestOrders(t *testing.T) {
 	n := newTestNode()
 	err := n.HandleOrders(encode(Orders{Version, []Order{{1, "w1", "/orders", []byte("x")}, {2, "w2", "/orders", nil}, {3, "w3", "/orders", nil}}}))
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -26,7 +26,7 @@
 	maxQueuedBytes = 8 << 20
 )
 
-// Forwarder passes workers' reports on to the leader and the leader's orders to workers.
+// Forwarder forwards workers' reports to the leader and the leader's orders to workers.
 type Forwarder struct {
 	env   actor.Env
 	label string
@@ -41,7 +41,7 @@
 	// generation counts the pauses of the process. Answers to messages and orders that were
 	// sent before the last pause are ignored.
 	generation int
-	// OnRefused is called with each report that could not be passed on.
+	// OnRefused is called with each report that could not be forwarded.
 	OnRefused func(body []byte)
 }
 
@@ -60,7 +60,7 @@
 
 var refusal = httpx.Response{Status: 503, RetryAfter: 1, Body: wire.Error("the leader has not answered")}
 
-// Report passes a worker's report on; reply is called once, with the leader's answer or a
+// Report forwards a worker's report; reply is called once, with the leader's answer or a
 // refusal.
 func (f *Forwarder) Report(body []byte, reply func(httpx.Response)) {
 	if f.queuedBytes+len(body) > maxQueuedBytes {
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -1,8 +1,8 @@
 // Package forward lets every controller take workers' reports for the leader. A controller
-// that isn't the leader keeps the workers' connections, passes their reports on in batches
-// and returns the leader's answers. It also passes on the leader's direct orders.
+// that isn't the leader keeps the workers' connections, forwards their reports in batches
+// and returns the leader's answers. It also forwards the leader's direct orders.
 //
-// It makes no decisions: it never answers a report by itself except to refuse it, passes on no
+// It makes no decisions: it never answers a report itself except to refuse it, forwards no
 // report and no order twice, and changes no content. The protocol treats it as part of the
 // network between the leader and a worker, which may lose or delay messages anyway
 // (docs/scale.md).
@@ -29,7 +29,7 @@
 const (
 	// maxBatchBytes limits the bodies in a message to less than the limit of a request.
 	maxBatchBytes = 48 << 10
-	// MaxReportBytes is the size of the largest report that is passed on.
+	// MaxReportBytes is the size of the largest report that is forwarded.
 	MaxReportBytes = 32 << 10
 	// maxBatchesInFlight is how many messages to the leader are under way at a time.
 	maxBatchesInFlight = 4
@@ -59,7 +59,7 @@
 	Body    []byte  `cbor:"4,keyasint,omitempty"`
 }
 
-// Batch is a message to the leader with the reports and results that a controller passes on.
+// Batch is a message to the leader with the reports and results that a controller forwards.
 type Batch struct {
 	V       int      `cbor:"1,keyasint"`
 	From    string   `cbor:"2,keyasint"`
@@ -100,7 +100,7 @@
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic("forward: " + err.Error()) // one of our types can't be encoded
+		panic("forward: " + err.Error()) // a type of this package can't be encoded
 	}
 	return b
 }
--- a/internal/forward/sender.go
+++ b/internal/forward/sender.go
@@ -32,7 +32,7 @@
 const sequenceBits = 32
 
 // NewSender creates the sender of a term. The IDs of its orders contain the term's token, so
-// that the result of an order of an earlier term is never taken for that of one of ours.
+// that the result of an order of an earlier term is never taken for that of an order of this term.
 func NewSender(env actor.Env, token uint64) *Sender {
 	return &Sender{env: env, queues: map[string][]Order{}, pending: map[uint64]*pendingOrder{}, nextID: token << sequenceBits}
 }
--- a/internal/images/images.go
+++ b/internal/images/images.go
@@ -27,7 +27,7 @@
 // Image is an image that a machine has.
 type Image struct {
 	GB float64
-	At time.Duration // when it was last known to be there, on the steady clock
+	At time.Duration // when it was last known to be there, on the monotonic clock
 }
 
 type job struct {
--- a/internal/images/images_test.go
+++ b/internal/images/images_test.go
@@ -27,7 +27,7 @@
 func TestRemembersAcrossLeaders(t *testing.T) {
 	e := &env{}
 	a := New(e, statestore.New(e, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 1}))
-	put := func(key, value string) { a.onChange(key, &statestore.Item{Value: []byte(value), Stamp: 1}) }
+	put := func(key, value string) { a.onChange(key, &statestore.Item{Value: []byte(value), Revision: 1}) }
 	rec := func(id, image, final string) {
 		r := ledger.NewRecord(&model.Spec{ID: id, Tasks: 3, Image: image, ImageGB: 4}, 0, "", 48)
 		if r.Final = final; final == ledger.Done {
--- a/internal/intake/allocation.go
+++ b/internal/intake/allocation.go
@@ -14,7 +14,7 @@
 	// TTL is how long an allocation lasts. Its holder counts from when it sent the
 	// timestamp that the leader's message echoes, which is before the allocation was made,
 	// however late the message arrives. A pause of the process doesn't extend it, since
-	// the steady clock runs on.
+	// the monotonic clock runs on.
 	TTL = 4 * time.Second
 	// allocationLifetime is how long the leader counts an allocation as in use after it
 	// was last sent: clocks drift apart by at most 0.05%.
@@ -42,7 +42,7 @@
 
 // Allocator divides a limit, which is a rate, between the nodes while its owner leads.
 type Allocator struct {
-	total  float64 // the part of the limit that the nodes other than ours may hold together
+	total  float64 // the part of the limit that the other nodes may hold together
 	began  time.Duration
 	number uint64
 	nodes  []string
@@ -84,7 +84,7 @@
 }
 
 // ObserveNode records what a node reports: that it takes allocations, whether it has
-// acknowledged us as the leader (Holder.ObserveLeader), which allocation it has applied, and
+// acknowledged this node as the leader (Holder.ObserveLeader), which allocation it has applied, and
 // how much it would use per second.
 func (a *Allocator) ObserveNode(node string, acknowledged bool, applied uint64, demand float64) {
 	state := a.states[node]
@@ -132,8 +132,8 @@
 	return a.base() + state.maxRate(now)
 }
 
-// Divide divides the limit between all nodes, including ours, by their demand. It returns
-// our node's rate and the allocations of the others, which are rates beyond the base rate. An
+// Divide divides the limit between all nodes, including this one, by their demand. It returns
+// this node's rate and the allocations of the others, which are rates beyond the base rate. An
 // allocation grows only by what no other node may still hold. Capacity that exceeds the demand
 // isn't allocated.
 func (a *Allocator) Divide(now time.Duration, limit, ownDemand float64) (ownRate float64, rates map[string]float64, number uint64) {
@@ -197,7 +197,7 @@
 // those of an earlier process.
 func NewHolder(nonce uint64) *Holder { return &Holder{nonce: nonce << timestampBits} }
 
-// Timestamp returns the value that the leader is to echo: our time and the nonce.
+// Timestamp returns the value that the leader is to echo: this node's time and the nonce.
 func (h *Holder) Timestamp(now time.Duration) uint64 {
 	return h.nonce | uint64(now.Milliseconds())&(1<<timestampBits-1)
 }
@@ -211,7 +211,7 @@
 }
 
 // Apply applies an allocation from a leader, unless it is older than the current one, or the
-// echo of our timestamp shows that it has expired or isn't for this process.
+// echo of this node's timestamp shows that it has expired or isn't for this process.
 func (h *Holder) Apply(now time.Duration, token, number, echo uint64, rate float64) {
 	at := time.Duration(echo&(1<<timestampBits-1)) * time.Millisecond
 	h.ObserveLeader(token)
--- a/internal/leader/earlier.go
+++ b/internal/leader/earlier.go
@@ -18,12 +18,12 @@
 // nevertheless, its writes fail like those of any leader that has lost its key.
 func (a *Actor) endEarlier() {
 	now := a.env.Now()
-	if a.token != 0 || a.claiming || a.keyRecord.Node != a.label || a.keyRecord.Nonce == a.nonce || a.keyRecord.Permit == 0 || now >= endEarlierWithin || now < a.endEarlierAt {
+	if a.token != 0 || a.claiming || a.keyRecord.Node != a.label || a.keyRecord.Nonce == a.nonce || a.keyRecord.LeaseID == 0 || now >= endEarlierWithin || now < a.endEarlierAt {
 		return
 	}
-	permit := a.keyRecord.Permit
+	leaseID := a.keyRecord.LeaseID
 	a.endEarlierAt = now + endEarlierRetry
-	a.store.End(permit, func(ok bool) {
+	a.store.End(leaseID, func(ok bool) {
 		if ok {
 			a.env.Log().Info("ended the lease of an earlier process of this node", "token", a.keyRevision)
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -29,9 +29,9 @@
 	Node  string `json:"node"`
 	Nonce string `json:"nonce"`
 	V     int    `json:"v"`
-	// Permit is the ID of the lease that the key is bound to, 0 from programs that don't record
+	// LeaseID is the ID of the lease that the key is bound to, 0 from programs that don't record
 	// it.
-	Permit uint64 `json:"permit,omitempty"`
+	LeaseID uint64 `json:"permit,omitempty"`
 }
 
 // Actor takes part in the election and, while its node leads, keeps proving that it does.
@@ -40,7 +40,7 @@
 	store    *statestore.Store
 	label    string
 	nonce    string
-	permit   uint64 // ID of the lease that the leader key is bound to
+	leaseID  uint64 // ID of the lease that the leader key is bound to
 	claiming bool
 	token    uint64 // 0: not leading
 	// provenAt is when the last confirmation was sent whose answer proved that this node led
@@ -110,9 +110,9 @@
 			a.env.Log().Error("leader key can't be read, left unchanged", "err", err)
 			a.keyRecord.Node = "?"
 		}
-		a.keyRevision = it.Stamp
+		a.keyRevision = it.Revision
 	}
-	if a.token != 0 && (it == nil || it.Stamp != a.token) {
+	if a.token != 0 && (it == nil || it.Revision != a.token) {
 		a.stopLeading("the leader key has changed")
 	}
 	a.endEarlier()
@@ -131,7 +131,7 @@
 	a.token = 0
 	a.store.SetLeading(false)
 	a.onLose()
-	a.permit = 0
+	a.leaseID = 0
 }
 
 func (a *Actor) campaign() {
@@ -151,44 +151,44 @@
 	a.claiming = true
 	a.nonce = fmt.Sprintf("%s-%x", a.label, a.env.Rand().Uint64())
 	askedAt := a.env.Now()
-	a.store.Grant(leaseTTL, func(permit uint64, ok bool) {
+	a.store.Grant(leaseTTL, func(leaseID uint64, ok bool) {
 		if !ok {
 			a.claiming = false
 			return
 		}
-		a.claim(permit, askedAt, wire.Encode(record{Node: a.label, Nonce: a.nonce, V: 1, Permit: permit}), 3)
+		a.claim(leaseID, askedAt, wire.Encode(record{Node: a.label, Nonce: a.nonce, V: 1, LeaseID: leaseID}), 3)
 	})
 }
 
-func (a *Actor) claim(permit uint64, askedAt time.Duration, value []byte, tries int) {
-	t := wire.Txn{When: []wire.Cond{{Path: Key}, {Path: RestoreKey}}, Apply: []wire.Change{{Write: Key, Value: value, Permit: permit}}}
-	a.store.Commit(t, true, func(r statestore.Result, epoch uint64, _ []string) {
+func (a *Actor) claim(leaseID uint64, askedAt time.Duration, value []byte, tries int) {
+	t := wire.Txn{When: []wire.Cond{{Path: Key}, {Path: RestoreKey}}, Apply: []wire.Change{{Write: Key, Value: value, LeaseID: leaseID}}}
+	a.store.Commit(t, true, func(r statestore.Result, revision uint64, _ []string) {
 		switch {
 		case r == statestore.OK:
-			a.startLeading(permit, epoch, askedAt)
+			a.startLeading(leaseID, revision, askedAt)
 		case r == statestore.Unknown && tries > 0:
-			a.claim(permit, askedAt, value, tries-1)
+			a.claim(leaseID, askedAt, value, tries-1)
 		case r == statestore.Conflict:
 			// The key is this node's after all if an earlier copy of the claim was applied.
 			a.store.Get(Key, func(it *statestore.Item, ok bool) {
 				var rec record
 				if ok && it != nil && wire.Decode(it.Value, &rec) == nil && rec.Nonce == a.nonce {
-					a.startLeading(permit, it.Stamp, askedAt)
+					a.startLeading(leaseID, it.Revision, askedAt)
 					return
 				}
 				a.claiming = false
-				a.store.Release(permit)
+				a.store.Release(leaseID)
 			})
 		default:
 			a.claiming = false
-			a.store.Release(permit)
+			a.store.Release(leaseID)
 		}
 	})
 }
 
-func (a *Actor) startLeading(permit, token uint64, askedAt time.Duration) {
+func (a *Actor) startLeading(leaseID, token uint64, askedAt time.Duration) {
 	a.claiming = false
-	a.permit, a.token = permit, token
+	a.leaseID, a.token = leaseID, token
 	a.keyRecord, a.keyRevision = record{Node: a.label, Nonce: a.nonce}, token
 	a.provenAt, a.renewedAt, a.unanswered = askedAt, askedAt, 0
 	a.store.SetLeading(true)
@@ -203,9 +203,9 @@
 }
 
 func (a *Actor) renewLease(token uint64) {
-	permit, askedAt := a.permit, a.env.Now()
-	a.store.Renew(permit, func(ok, gone bool) {
-		if a.permit != permit || a.token == 0 {
+	leaseID, askedAt := a.leaseID, a.env.Now()
+	a.store.Renew(leaseID, func(ok, gone bool) {
+		if a.leaseID != leaseID || a.token == 0 {
 			return
 		}
 		if ok {
@@ -220,7 +220,7 @@
 			d = 250 * time.Millisecond
 		}
 		a.env.After(d, func() {
-			if a.permit == permit && a.token != 0 {
+			if a.leaseID == leaseID && a.token != 0 {
 				a.renewLease(token)
 			}
 		})
@@ -245,15 +245,15 @@
 	}
 	a.unanswered++
 	askedAt := a.env.Now()
-	t := wire.Txn{When: []wire.Cond{{Path: Key, Stamp: token}}}
-	a.store.Commit(t, true, func(r statestore.Result, epoch uint64, _ []string) {
+	t := wire.Txn{When: []wire.Cond{{Path: Key, Revision: token}}}
+	a.store.Commit(t, true, func(r statestore.Result, revision uint64, _ []string) {
 		if a.token != token {
 			return
 		}
 		a.unanswered--
 		switch r {
 		case statestore.OK:
-			a.store.WhenCaughtUp(epoch, func() {
+			a.store.WhenCaughtUp(revision, func() {
 				if a.token == token {
 					a.provenAt = max(a.provenAt, askedAt)
 				}
@@ -278,9 +278,9 @@
 	if a.token == 0 {
 		return
 	}
-	permit := a.permit
+	leaseID := a.leaseID
 	a.stopLeading(why)
-	a.store.Release(permit)
+	a.store.Release(leaseID)
 }
 
 // Paused is called when the process was paused. If the lease may have expired, another node may
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -41,7 +41,7 @@
 
 // chunk tracks the stored record of a range of a job's tasks.
 type chunk struct {
-	stamp      uint64
+	revision   uint64
 	dirty      bool
 	inFlight   bool
 	dirtySince time.Duration
@@ -51,7 +51,7 @@
 // Job is a job that is not over, or that still has placements or stored chunks.
 type Job struct {
 	Spec           *model.Spec
-	Stamp          uint64
+	Revision       uint64
 	AcceptedUnixMS int64
 	AcceptedAt     time.Duration // on this node's monotonic clock
 	Record         *JobRecord
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -70,8 +70,8 @@
 }
 
 type orphan struct {
-	key   string
-	stamp uint64
+	key      string
+	revision uint64
 }
 
 // New returns an empty ledger for a term. Load fills it from the replica.
@@ -121,7 +121,7 @@
 	}
 	pending := false
 	for i := range j.chunks {
-		if j.chunks[i].stamp != 0 {
+		if j.chunks[i].revision != 0 {
 			pending = true
 			l.markDirty(j, i*j.tasksPerChunk, false)
 		}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -20,11 +20,11 @@
 // env stands in for the state service: it answers each request after 1 ms and records committed
 // transactions.
 type env struct {
-	now    time.Duration
-	timers actor.Timers
-	items  map[string]string
-	epoch  uint64
-	txns   []wire.Txn
+	now      time.Duration
+	timers   actor.Timers
+	items    map[string]string
+	revision uint64
+	txns     []wire.Txn
 }
 
 func (e *env) Now() time.Duration                           { return e.now }
@@ -55,15 +55,15 @@
 			items = append(items, fmt.Sprintf(`{"path":%q,"value":%s,"stamp":5}`, k, v))
 		}
 		sort.Strings(items)
-		body = fmt.Sprintf(`{"items":[%s],"has_next":false,"epoch":%d}`, strings.Join(items, ","), e.epoch)
+		body = fmt.Sprintf(`{"items":[%s],"has_next":false,"epoch":%d}`, strings.Join(items, ","), e.revision)
 	case c.Path == wire.PathCommit:
 		var t wire.Txn
 		if err := json.Unmarshal(c.Body, &t); err != nil {
 			panic(err)
 		}
 		e.txns = append(e.txns, t)
-		e.epoch++
-		body = fmt.Sprintf(`{"epoch":%d}`, e.epoch)
+		e.revision++
+		body = fmt.Sprintf(`{"epoch":%d}`, e.revision)
 	default:
 		return // a watch is never answered
 	}
@@ -72,7 +72,7 @@
 
 func newTestLedger(t testing.TB, items map[string]string) (*env, *Ledger) {
 	t.Helper()
-	e := &env{items: items, epoch: 5}
+	e := &env{items: items, revision: 5}
 	s := statestore.New(e, statestore.Config{RPS: 100, WriteRPS: 25, Nodes: 1, TxnOps: 12, ValueBytes: 4096})
 	s.Start()
 	e.run(time.Second)
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -36,7 +36,7 @@
 		}
 		return
 	}
-	if j != nil && j.Stamp >= it.Stamp {
+	if j != nil && j.Revision >= it.Revision {
 		return
 	}
 	r, err := DecodeRecord(id, it.Value)
@@ -65,7 +65,7 @@
 		copy(l.order[i+1:], l.order[i:])
 		l.order[i] = j
 	}
-	j.Stamp, j.Record, j.Service = it.Stamp, r, r.Service
+	j.Revision, j.Record, j.Service = it.Revision, r, r.Service
 	if r.Final != Open && j.Final == Open {
 		j.Final = r.Final
 		l.env.Log().Info("job over", "job", id, "phase", r.Final)
@@ -104,7 +104,7 @@
 		// job's record can't be read, the chunks are kept.
 		if rec, ok := l.store.Peek(JobKey(rest[:i])); ok {
 			if r, err := DecodeRecord(rest[:i], rec.Value); err == nil && r.Final == Done {
-				l.orphans = append(l.orphans, orphan{key, it.Stamp})
+				l.orphans = append(l.orphans, orphan{key, it.Revision})
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 		j.unreadable = true
 		return
 	}
-	j.chunks[n].stamp = it.Stamp
+	j.chunks[n].revision = it.Revision
 	if why != "" {
 		j.StopReason = why
 	}
@@ -143,7 +143,7 @@
 			p := &Placement{Job: j, Task: t, Attempt: s.attempt, Host: m, Durable: true, Inherited: true, PlacedAt: l.env.Now()}
 			l.occupy(p)
 			if j.Final != Open {
-				p.Stopping, p.StopWhy = true, model.CauseCancelled
+				p.Stopping, p.StopReason = true, model.CauseCancelled
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 		// Only part of the gang is recorded as placed, so the other tasks may never start.
 		complete := true
 		for i := range j.chunks {
-			if j.chunks[i].stamp == 0 {
+			if j.chunks[i].revision == 0 {
 				complete = false
 			}
 		}
--- a/internal/ledger/machine.go
+++ b/internal/ledger/machine.go
@@ -81,7 +81,7 @@
 // Machine is a rented machine as the leader knows it.
 type Machine struct {
 	Name, Addr, Type, Zone string
-	RelayedBy              string // the controller that forwards its reports; "": the worker sends them to the leader
+	ForwardedBy            string // the controller that forwards its reports; "": the worker sends them to the leader
 	ListedAddr             string // address in the cloud's list, which may differ from the reported one
 	Spot                   bool
 	TypeKnown              bool // type and zone are known
--- a/internal/ledger/placement.go
+++ b/internal/ledger/placement.go
@@ -25,7 +25,7 @@
 	GraceS            float64
 	StopSince         time.Duration
 	StopSent          time.Duration
-	StopWhy           string
+	StopReason        string
 	RunSinceUncertain bool // RunSince may be off by more than two report intervals
 	StartSentAt       time.Duration
 	StartInAnswerAt   time.Duration // when an answer to a report last contained the start; 0: never
@@ -140,19 +140,19 @@
 	durable := p.Durable
 	l.vacate(p)
 	if j.Final == Open {
-		if why != model.CauseStopped || p.StopWhy != "" || p.Inherited {
+		if why != model.CauseStopped || p.StopReason != "" || p.Inherited {
 			cause := why
 			switch {
-			case p.StopWhy != "":
-				cause = p.StopWhy
+			case p.StopReason != "":
+				cause = p.StopReason
 			case p.Inherited && strings.HasPrefix(why, model.CauseStopped):
 				cause = why + " by an earlier leader, which kept no reason"
 			}
 			j.StopReason = "task " + strconv.Itoa(p.Task) + " attempt " + strconv.FormatUint(p.Attempt, 10) + " on " + p.Host.Name + ": " + cause
 		}
-		l.env.Log().Info("task gone", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", p.Host.Name, "why", why, "stop", p.StopWhy)
+		l.env.Log().Info("task gone", "job", j.Spec.ID, "task", p.Task, "attempt", p.Attempt, "machine", p.Host.Name, "why", why, "stop", p.StopReason)
 	}
-	if c := &j.chunks[p.Task/j.tasksPerChunk]; durable || c.stamp != 0 || c.inFlight {
+	if c := &j.chunks[p.Task/j.tasksPerChunk]; durable || c.revision != 0 || c.inFlight {
 		l.markDirty(j, p.Task, false)
 	}
 	if j.Spec.Kind == model.Gang && j.Final == Open && !j.Tasks[p.Task].Done {
@@ -206,7 +206,7 @@
 	}
 	if !p.Stopping {
 		p.StopSince = l.env.Now()
-		p.StopWhy = why
+		p.StopReason = why
 	}
 	p.Stopping, p.GraceS, p.StopSent = true, graceS, 0
 	if !p.Durable {
--- a/internal/ledger/ran_test.go
+++ b/internal/ledger/ran_test.go
@@ -111,8 +111,8 @@
 		b.StopTimer()
 		n++
 		id := fmt.Sprintf("j-9%06d", n)
-		e.epoch++
-		l.ApplyJobRecord(JobKey(id), &statestore.Item{Value: []byte(record(id, tasks, 48, Open)), Stamp: e.epoch})
+		e.revision++
+		l.ApplyJobRecord(JobKey(id), &statestore.Item{Value: []byte(record(id, tasks, 48, Open)), Revision: e.revision})
 		j := l.Jobs[id]
 		e.txns = nil
 		if !ends {
--- a/internal/ledger/write.go
+++ b/internal/ledger/write.go
@@ -202,14 +202,14 @@
 	}
 	spare := int(budget - reservedBurstShare*l.store.WriteBurst())
 	maxConditions := 4*l.MaxOps - 2
-	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Stamp: l.token}}}
+	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Revision: l.token}}}
 	var pending []*pendingChange
 	size := 0
 	conditioned := map[*Job]bool{}
 	requireJob := func(j *Job) {
 		if !conditioned[j] {
 			conditioned[j] = true
-			t.When = append(t.When, wire.Cond{Path: JobKey(j.Spec.ID), Stamp: j.Stamp})
+			t.When = append(t.When, wire.Cond{Path: JobKey(j.Spec.ID), Revision: j.Revision})
 		}
 	}
 	full := func() bool { return len(t.Apply) >= maxChanges || size > 48<<10 || len(t.When) > maxConditions }
@@ -265,7 +265,7 @@
 			continue
 		}
 		if j.Final != Open {
-			if c.stamp == 0 {
+			if c.revision == 0 {
 				c.dirty = false
 				continue
 			}
@@ -285,7 +285,7 @@
 			}
 		}
 		requireJob(j)
-		t.When = append(t.When, wire.Cond{Path: key, Stamp: c.stamp})
+		t.When = append(t.When, wire.Cond{Path: key, Revision: c.revision})
 		c.dirty, c.urgent, c.inFlight = false, false, true
 		pending = append(pending, change)
 	}
@@ -293,7 +293,7 @@
 	for len(l.orphans) > 0 && len(t.Apply) < min(maxChanges, spare) && !full() {
 		o := l.orphans[0]
 		l.orphans = l.orphans[1:]
-		t.When = append(t.When, wire.Cond{Path: o.key, Stamp: o.stamp})
+		t.When = append(t.When, wire.Cond{Path: o.key, Revision: o.revision})
 		t.Apply = append(t.Apply, wire.Change{Delete: o.key})
 		pending = append(pending, &pendingChange{chunk: -1, key: o.key})
 	}
@@ -301,12 +301,12 @@
 		return
 	}
 	l.commitInFlight = true
-	l.store.Commit(t, true, func(r statestore.Result, epoch uint64, failed []string) {
+	l.store.Commit(t, true, func(r statestore.Result, revision uint64, failed []string) {
 		l.commitInFlight = false
 		if l.closed {
 			return
 		}
-		l.finishCommit(pending, r, epoch, failed)
+		l.finishCommit(pending, r, revision, failed)
 	})
 }
 
@@ -325,7 +325,7 @@
 	return v
 }
 
-func (l *Ledger) finishCommit(pending []*pendingChange, r statestore.Result, epoch uint64, failed []string) {
+func (l *Ledger) finishCommit(pending []*pendingChange, r statestore.Result, revision uint64, failed []string) {
 	for _, change := range pending {
 		if change.job == nil {
 			continue
@@ -345,11 +345,11 @@
 				continue
 			}
 			if change.chunk < 0 {
-				change.job.Final, change.job.Stamp = Done, epoch
+				change.job.Final, change.job.Revision = Done, revision
 			} else {
-				change.job.chunks[change.chunk].stamp = epoch
+				change.job.chunks[change.chunk].revision = revision
 				if change.deletion {
-					change.job.chunks[change.chunk].stamp = 0
+					change.job.chunks[change.chunk].revision = 0
 				}
 			}
 			for _, p := range change.placed {
@@ -371,7 +371,7 @@
 			switch {
 			case change.job == nil:
 				if it, ok := l.store.Peek(change.key); ok {
-					l.orphans = append(l.orphans, orphan{change.key, it.Stamp})
+					l.orphans = append(l.orphans, orphan{change.key, it.Revision})
 				}
 			case l.Jobs[change.job.Spec.ID] != change.job:
 			case change.chunk < 0:
@@ -439,9 +439,9 @@
 	if i := strings.LastIndexByte(rest, '/'); i > 0 {
 		if j := l.Jobs[rest[:i]]; j != nil {
 			if n, err := strconv.Atoi(rest[i+1:]); err == nil && n < len(j.chunks) {
-				j.chunks[n].stamp = 0
+				j.chunks[n].revision = 0
 				if it != nil {
-					j.chunks[n].stamp = it.Stamp
+					j.chunks[n].revision = it.Revision
 				}
 			}
 		}
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -20,7 +20,7 @@
 // fillCancellations sets the fields about cancellations in a status.
 func (n *Node) fillCancellations(st *peer.Status) {
 	if t := n.term; t != nil && t.cancellations != nil {
-		st.Question = t.cancellations.NewQuestion(n.env.Now(), n.store.Epoch())
+		st.Question = t.cancellations.NewQuestion(n.env.Now(), n.store.Revision())
 	}
 	st.Answer = n.responder.Respond(n.election.Token() != 0)
 }
@@ -39,7 +39,7 @@
 			n.env.Log().Error("invalid cancellation record from a peer", "peer", s.Label, "key", r.Key, "err", err)
 			return
 		}
-		n.store.Learn(r.Key, r.Value, r.Stamp)
+		n.store.Learn(r.Key, r.Value, r.Revision)
 	}
 	if t := n.term; t != nil {
 		t.cancellations.HandleAnswer(s.Label, s.Answer)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -394,7 +394,7 @@
 	t.rollouts = rollout.New(n.env, t.ledger, n.store, token, rollout.Config{CPUShare: f.Limits.CPUShare, ReportInterval: seconds(f.Workers.ReportS)})
 	t.rollouts.OnDeposed = func() { n.election.Deposed(token) }
 	t.units.OnDeposed, t.units.OnChange = t.rollouts.OnDeposed, t.schedulePass
-	t.workers = workers.New(n.env, t.ledger, t.token, workers.Config{Lease: seconds(f.Workers.LeaseS), Hold: n.hold, Report: seconds(f.Workers.ReportS)})
+	t.workers = workers.New(n.env, t.ledger, t.token, workers.Config{Lease: seconds(f.Workers.LeaseS), Hold: n.hold, ReportInterval: seconds(f.Workers.ReportS)})
 	t.rollouts.Load()
 	t.workers.OnServiceExit = t.rollouts.Ended
 	// Without a fresh proof that this node leads, a job whose start is recorded may have been
@@ -504,7 +504,7 @@
 	c := &t.ledger.Changes
 	t.node.env.Log().Info("written in this term", "for_s", roundToTenth((now - t.workers.Began()).Seconds()), "starts", c.Starts, "tasks", c.Tasks, "ends", c.Ends,
 		"marks", c.StateUpdates, "drops", c.Deletions)
-	// In the log, "door" is the admission of submissions, "shut" the number of blocked classes
+	// In the log, "door" means the admission of submissions, "shut" the number of blocked classes
 	// and "floored" the number of jobs within a minimum share.
 	t.node.env.Log().Info("door", "ease", roundToTenth(t.admitFraction), "behind_s", roundToTenth(t.ledger.WriteBacklogS(model.Low)), "others_hold", roundToTenth(t.allocator.HeldByOthers(now)), "wanted", roundToTenth(t.node.submissionQueue.ArrivalRate(now)),
 		"admitted", roundToTenth(t.node.submissionQueue.AdmissionRate(now)), "refused", t.node.submissionQueue.Refused, "shut", len(t.blockedClasses), "longest_quiet_s", roundToTenth(t.ledger.LongestWriteStall.Seconds()), "floored", len(t.withinMinShare))
--- a/internal/node/overview.go
+++ b/internal/node/overview.go
@@ -31,7 +31,7 @@
 	}
 	o.Admission.AdmitFraction, o.Admission.WriteBacklogS = roundToTenth(t.admitFraction), roundToTenth(t.ledger.WriteBacklogS(model.Low))
 	for _, k := range t.blockedClasses {
-		o.Admission.ClosedClasses = append(o.Admission.ClosedClasses, k[1]+" of "+k[0])
+		o.Admission.BlockedClasses = append(o.Admission.BlockedClasses, k[1]+" of "+k[0])
 	}
 	o.Classes = t.classes()
 	o.Leading, o.Token, o.LedS = true, t.token, roundToTenth((now - t.workers.Began()).Seconds())
@@ -39,8 +39,8 @@
 	o.Machines, o.Jobs = &m, &j
 	for _, c := range n.settings.Facts.Teams {
 		u := t.ledger.Teams[c.Name].Used
-		o.Teams = append(o.Teams, wire.TeamView{Name: c.Name, CPUs: u.CPUs, GPUs: u.GPUs, GuaranteedCPUs: c.CPUs, GuaranteedGPUs: c.GPUs,
-			MaxCPUs: c.CPUsMax, MaxGPUs: c.GPUsMax})
+		o.Teams = append(o.Teams, wire.TeamView{Name: c.Name, CPUs: u.CPUs, GPUs: u.GPUs, GuaranteedCPUs: c.GuaranteedCPUs, GuaranteedGPUs: c.GuaranteedGPUs,
+			MaxCPUs: c.MaxCPUs, MaxGPUs: c.MaxGPUs})
 	}
 	for _, j := range t.ledger.Order() {
 		if !placement.Waiting(j) {
@@ -76,7 +76,7 @@
 		c.Waiting += j.Idle()
 		c.Placed += j.Placed
 		if t.withinMinShare[j] {
-			c.Floor++
+			c.WithinMinShare++
 		}
 	}
 	slices.SortStableFunc(out, func(a, b wire.ClassView) int { return cmp.Compare(b.Waiting+b.Placed, a.Waiting+a.Placed) })
@@ -97,11 +97,11 @@
 	var us []use
 	for _, c := range t.node.settings.Facts.Teams {
 		u := t.ledger.Teams[c.Name].Used
-		if c.CPUsMax > 0 {
-			us = append(us, use{c.Name, u.CPUs, c.CPUsMax, "cpus"})
+		if c.MaxCPUs > 0 {
+			us = append(us, use{c.Name, u.CPUs, c.MaxCPUs, "cpus"})
 		}
-		if c.GPUsMax > 0 {
-			us = append(us, use{c.Name, u.GPUs, c.GPUsMax, "gpus"})
+		if c.MaxGPUs > 0 {
+			us = append(us, use{c.Name, u.GPUs, c.MaxGPUs, "gpus"})
 		}
 	}
 	slices.SortStableFunc(us, func(a, b use) int { return cmp.Compare(b.used/b.most, a.used/a.most) })
--- a/internal/node/restored.go
+++ b/internal/node/restored.go
@@ -35,7 +35,7 @@
 	t.settling = true
 	b := t.base
 	b.Settled = true
-	txn := wire.Txn{When: []wire.Cond{{Path: leader.Key, Stamp: t.token - t.base.Token}, {Path: leader.BaseKey, Stamp: it.Stamp}},
+	txn := wire.Txn{When: []wire.Cond{{Path: leader.Key, Revision: t.token - t.base.Token}, {Path: leader.BaseKey, Revision: it.Revision}},
 		Apply: []wire.Change{{Write: leader.BaseKey, Value: wire.Encode(b)}}}
 	t.node.store.Commit(txn, true, func(r statestore.Result, _ uint64, _ []string) {
 		t.settling = false
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -60,7 +60,7 @@
 	Question *cancellation.Question `cbor:"17,keyasint,omitempty"`
 	Answer   *cancellation.Answer   `cbor:"18,keyasint,omitempty"`
 	// ForwardVersion is the version of the messages (package forward) in which its program
-	// passes workers' reports on; 0: it doesn't. ReportingWorkers is how many workers
+	// forwards workers' reports; 0: it doesn't. ReportingWorkers is how many workers
 	// report to the node.
 	ForwardVersion   int    `cbor:"19,keyasint,omitempty"`
 	ReportingWorkers uint64 `cbor:"20,keyasint,omitempty"`
@@ -129,7 +129,7 @@
 	s.V = statusVersion
 	b, err := cbor.Marshal(s)
 	if err != nil {
-		panic("peer: " + err.Error()) // one of our types can't be encoded
+		panic("peer: " + err.Error()) // a type of this package can't be encoded
 	}
 	return b
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RelayPath is the path on which a node passes on a user's request that it can't answer
+// RelayPath is the path on which a node relays a user's request that it can't answer
 // itself, because the state service refuses just this node or isn't reachable from it.
 // The user would otherwise be asked to retry after a second or more, and could then reach
 // the same node again.
@@ -20,7 +20,7 @@
 	// maxRelays is how many requests may be under way to peers; further ones are refused.
 	maxRelays = 40
 	// relayMaxStateAge limits the time since the last answer that a peer got from the state
-	// service. Requests are passed on only to peers within this limit.
+	// service. Requests are relayed only to peers within this limit.
 	relayMaxStateAge = 2500 * time.Millisecond
 )
 
@@ -36,7 +36,7 @@
 	Body       []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// Relay passes a user's request on to a peer that reaches the state service. It returns
+// Relay relays a user's request to a peer that reaches the state service. It returns
 // false if there is none, or if too many requests are under way. Otherwise done is called
 // once; ok is false if the peer has not answered either.
 func (a *Actor) Relay(r *httpx.Request, done func(resp httpx.Response, ok bool)) bool {
@@ -71,7 +71,7 @@
 	return true
 }
 
-// serveRelayed answers a request that a peer passed on. It is not passed on again.
+// serveRelayed answers a request that a peer relayed. It is not relayed again.
 func (a *Actor) serveRelayed(r *httpx.Request, reply func(httpx.Response)) {
 	var x relayedRequest
 	if a.OnUserRequest == nil || cbor.Unmarshal(r.Body, &x) != nil {
--- a/internal/placement/claims.go
+++ b/internal/placement/claims.go
@@ -10,7 +10,7 @@
 )
 
 // Claim ranks a job by what its team's guarantee and the minimum share of its class cover.
-// A job with a larger claim goes first, whatever the priorities, and is never stopped for
+// A job with a larger claim goes first, regardless of priorities, and is never stopped for
 // a job with a smaller claim.
 type Claim uint8
 
--- a/internal/placement/minshares.go
+++ b/internal/placement/minshares.go
@@ -12,8 +12,7 @@
 	"brooklb/internal/settings"
 )
 
-// MinShares computes the minimum share of the cluster that each class of each team gets,
-// called its floor in the settings.
+// MinShares computes the minimum share of the cluster that each class of each team gets.
 type MinShares struct {
 	*settings.Sharing
 	// Weight returns the weight of a team; nil means that all have the same.
@@ -46,7 +45,7 @@
 // The unfinished jobs of a waiting class accumulate, so that its minimum share grows until
 // it meets the demand of the smallest of them.
 func (ms *MinShares) JobsWithin(l *ledger.Ledger, objectives *Objectives, whole model.Resources, now time.Duration) map[*ledger.Job]bool {
-	if ms == nil || ms.FloorFraction <= 0 {
+	if ms == nil || ms.MinShareFraction <= 0 {
 		return nil
 	}
 	type member struct {
@@ -87,8 +86,8 @@
 		g := groups[k]
 		slices.SortStableFunc(g, func(a, b member) int { return cmp.Compare(a.rank, b.rank) })
 		s := &fair.Share{Key: k}
-		for _, m := range g[:int(math.Ceil(ms.FloorJobFraction*float64(len(g))))] {
-			s.Demand += dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks()) * (m.j.EstimateS() + startupS) / ms.FloorPeriod.Seconds()
+		for _, m := range g[:int(math.Ceil(ms.MinShareJobFraction*float64(len(g))))] {
+			s.Demand += dominantShare(m.j.Spec.Resources, whole) * float64(m.j.WantedTasks()) * (m.j.EstimateS() + startupS) / ms.MinSharePeriod.Seconds()
 		}
 		shares[i] = s
 		if topPriority[k] == highest {
@@ -97,8 +96,8 @@
 			rest = append(rest, s)
 		}
 	}
-	fair.ByTeam(ms.FloorFraction, urgent, ms.Weight)
-	fair.ByTeam(ms.FloorFraction, rest, ms.Weight)
+	fair.ByTeam(ms.MinShareFraction, urgent, ms.Weight)
+	fair.ByTeam(ms.MinShareFraction, rest, ms.Weight)
 	inMinShare := map[*ledger.Job]bool{}
 	for i, k := range keys {
 		used := 0.0
--- a/internal/placement/minshares_test.go
+++ b/internal/placement/minshares_test.go
@@ -41,7 +41,7 @@
 				}
 			}
 		}
-		most := 2 * f.FloorFraction // one part for the most urgent classes and one for the others
+		most := 2 * f.MinShareFraction // one part for the most urgent classes and one for the others
 		for _, n := range first {
 			most += n
 		}
@@ -73,7 +73,7 @@
 		}
 	}
 	whole := w.v.TotalCapacity()
-	if got := float64(n*4) / whole.GPUs; got < 0.45*f.FloorFraction {
+	if got := float64(n*4) / whole.GPUs; got < 0.45*f.MinShareFraction {
 		t.Errorf("the team with one class has a minimum share of %.2f", got)
 	}
 }
--- a/internal/placement/objectives.go
+++ b/internal/placement/objectives.go
@@ -48,7 +48,7 @@
 // HasWaitObjective reports whether an objective limits how long jobs of this class wait.
 func (o *Objectives) HasWaitObjective(j *ledger.Job) bool { return len(o.wait[j.Spec.Class]) > 0 }
 
-// StartBy returns the times (on the steady clock) by which the job's tasks must run to
+// StartBy returns the times (on the monotonic clock) by which the job's tasks must run to
 // meet its objectives, one per objective. The objective for guarantees counts only if the
 // job is entitled (Entitled).
 func (o *Objectives) StartBy(j *ledger.Job, entitled bool) []time.Duration {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -33,7 +33,7 @@
 func newWorld(seed uint64, machines int) *world {
 	e := env{rand.New(rand.NewPCG(seed, 1))}
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 1, WriteRPS: 1, Nodes: 1, TxnOps: 8, ValueBytes: 4096}), 1,
-		[]settings.Team{{Name: "red", GPUs: 24}, {Name: "blue", GPUs: 16, GPUsMax: 64}, {Name: "free"}})
+		[]settings.Team{{Name: "red", GuaranteedGPUs: 24}, {Name: "blue", GuaranteedGPUs: 16, MaxGPUs: 64}, {Name: "free"}})
 	l.Types["g8"] = &model.MachineType{Name: "g8", Cap: model.Resources{CPUs: 96, GPUs: 8, MemGB: 500}, FetchGBs: 0.5}
 	for i := range machines {
 		m := l.Machine(fmt.Sprintf("m%03d", i))
@@ -52,7 +52,7 @@
 	w.n++
 	s.ID = fmt.Sprintf("j-%d", w.n)
 	rec := ledger.NewRecord(&s, at.Milliseconds()+int64(w.n), "", 48)
-	w.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Stamp: uint64(w.n)})
+	w.l.ApplyJobRecord(ledger.JobKey(s.ID), &statestore.Item{Value: rec.Encode(), Revision: uint64(w.n)})
 	return w.l.Jobs[s.ID]
 }
 
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -69,7 +69,7 @@
 // mayPreempt reports whether a task may be stopped for a job. A task never yields to a job
 // with a smaller claim. If it has a claim, or the claims are equal, or both belong to one
 // team, it yields only to higher priority. A task without a claim that runs beyond its
-// team's guarantee also yields, whatever its priority, to another team's job with a claim
+// team's guarantee also yields, regardless of its priority, to another team's job with a claim
 // on a guarantee.
 //
 // A task within its class's minimum share yields only to an entitled job of another team,
@@ -98,11 +98,11 @@
 		return lower
 	}
 	t := pr.l.Teams[p.Job.Spec.Team]
-	if lower || t == nil || (t.CPUs <= 0 && t.GPUs <= 0) {
+	if lower || t == nil || (t.GuaranteedCPUs <= 0 && t.GuaranteedGPUs <= 0) {
 		return true
 	}
 	u := t.Used
-	return (t.GPUs > 0 && u.GPUs-p.Job.Spec.Resources.GPUs >= t.GPUs-1e-6) || (t.CPUs > 0 && u.CPUs-p.Job.Spec.Resources.CPUs >= t.CPUs-1e-6)
+	return (t.GuaranteedGPUs > 0 && u.GPUs-p.Job.Spec.Resources.GPUs >= t.GuaranteedGPUs-1e-6) || (t.GuaranteedCPUs > 0 && u.CPUs-p.Job.Spec.Resources.CPUs >= t.GuaranteedCPUs-1e-6)
 }
 
 // Preemptor chooses tasks to stop for the jobs of a pass. It computes once per machine
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -43,7 +43,7 @@
 		s -= (m.Pace.Factor() - 1) * j.EstimateS()
 	}
 	if j.Spec.Priority >= model.High && m.TrackedStarts() >= ledger.MaxDirectStarts(j.Spec.Priority) {
-		// The start is sent in the answer to the worker's next report, which comes sooner
+		// The start is sent in the answer to the worker's next report, which comes earlier
 		// from busy workers. Jobs of lower priority can wait for it, and go where they
 		// fill machines best.
 		s -= min(m.ReportGap, v.ReportInterval).Seconds() / 2
--- a/internal/rollout/check_test.go
+++ b/internal/rollout/check_test.go
@@ -61,7 +61,7 @@
 	e.answer = func(actor.Call) (actor.Answer, time.Duration) { return actor.Answer{Status: 200}, 2 * time.Millisecond }
 	l := ledger.New(e, newStore(e), 1, nil)
 	rec := ledger.NewRecord(&model.Spec{ID: "j-2", Kind: model.Service, Tasks: n, Image: "i"}, 0, "", 100)
-	l.ApplyJobRecord(ledger.JobKey("j-2"), &statestore.Item{Value: rec.Encode(), Stamp: 1})
+	l.ApplyJobRecord(ledger.JobKey("j-2"), &statestore.Item{Value: rec.Encode(), Revision: 1})
 	j := l.Jobs["j-2"]
 	c := newChecker(e, share, 3*time.Second)
 	for i := range n {
--- a/internal/rollout/handler.go
+++ b/internal/rollout/handler.go
@@ -85,7 +85,7 @@
 }
 
 // read passes the current record of a service to then; rec is nil if there is none.
-func (h *Handler) read(name string, reply func(httpx.Response), then func(rec *Record, stamp uint64)) {
+func (h *Handler) read(name string, reply func(httpx.Response), then func(rec *Record, revision uint64)) {
 	h.store.Read(Key(name), func(it *statestore.Item, ok bool) {
 		if !ok {
 			reply(answer.Unavailable)
@@ -101,7 +101,7 @@
 			reply(answer.Refuse(503, 5, "the record of service %s can't be read", name))
 			return
 		}
-		then(rec, it.Stamp)
+		then(rec, it.Revision)
 	})
 }
 
@@ -215,13 +215,13 @@
 
 // requestChange pauses, resumes or aborts a roll-out, or withdraws the service.
 func (h *Handler) requestChange(name, verb string, info wire.RequestInfo, tries int, reply func(httpx.Response)) {
-	h.read(name, reply, func(rec *Record, stamp uint64) {
+	h.read(name, reply, func(rec *Record, revision uint64) {
 		if rec == nil {
 			reply(answer.Refuse(404, 0, "no service %s is known", name))
 			return
 		}
 		if verb == wire.VerbWithdraw {
-			h.withdraw(name, rec, stamp, info, tries, reply)
+			h.withdraw(name, rec, revision, info, tries, reply)
 			return
 		}
 		if rec.Rollout == nil {
@@ -261,7 +261,7 @@
 			}
 			c.Rollout.State, c.Rollout.Paused, c.Rollout.SinceMS, c.Rollout.Why = RollingBack, false, now, clip(withReason("aborted", info))
 		}
-		t := wire.Txn{When: []wire.Cond{{Path: Key(name), Stamp: stamp}}, Apply: []wire.Change{{Write: Key(name), Value: c.encode()}}}
+		t := wire.Txn{When: []wire.Cond{{Path: Key(name), Revision: revision}}, Apply: []wire.Change{{Write: Key(name), Value: c.encode()}}}
 		h.commitChange(name, verb, info, t, c, tries, reply)
 	})
 }
@@ -292,7 +292,7 @@
 }
 
 // withdraw ends a service: all its versions, and its roll-out if there is one.
-func (h *Handler) withdraw(name string, rec *Record, stamp uint64, info wire.RequestInfo, tries int, reply func(httpx.Response)) {
+func (h *Handler) withdraw(name string, rec *Record, revision uint64, info wire.RequestInfo, tries int, reply func(httpx.Response)) {
 	if rec.Ended {
 		reply(h.statusResponse(name, rec))
 		return
@@ -310,6 +310,6 @@
 	c := rec.copy()
 	c.Current, c.New, c.Rollout, c.Ended = nil, nil, nil, true
 	c.Nonce = fmt.Sprintf("%x", h.env.Rand().Uint64())
-	t := wire.Txn{When: append(when, wire.Cond{Path: Key(name), Stamp: stamp}), Apply: append(apply, wire.Change{Write: Key(name), Value: c.encode()})}
+	t := wire.Txn{When: append(when, wire.Cond{Path: Key(name), Revision: revision}), Apply: append(apply, wire.Change{Write: Key(name), Value: c.encode()})}
 	h.commitChange(name, wire.VerbWithdraw, info, t, c, tries, reply)
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -35,10 +35,10 @@
 
 // service is a service's record and the leader's state of its roll-out.
 type service struct {
-	name    string
-	record  *Record
-	stamp   uint64
-	writing bool
+	name     string
+	record   *Record
+	revision uint64
+	writing  bool
 	// lastProgress is when the roll-out last came nearer to its end.
 	lastProgress time.Duration
 	mostHealthy  int // largest number of healthy instances of the new version so far
@@ -52,8 +52,8 @@
 const (
 	// tickInterval is how often a roll-out is evaluated.
 	tickInterval = 500 * time.Millisecond
-	// saveEndsAfter is how long after the first unsaved end of an instance by itself
-	// the count is written.
+	// saveEndsAfter is how long after the first unsaved exit of an instance the number of
+	// such exits is written. Exits on an order to stop don't count.
 	saveEndsAfter = 2 * time.Second
 	// reservedWrites is how many changes of the write budget are left for other work.
 	reservedWrites = 4
@@ -94,7 +94,7 @@
 		}
 		return
 	}
-	if s != nil && s.stamp >= it.Stamp {
+	if s != nil && s.revision >= it.Revision {
 		return
 	}
 	rec, err := Decode(name, it.Value)
@@ -107,7 +107,7 @@
 		a.services[name] = s
 	}
 	previous := s.record
-	s.record, s.stamp = rec, it.Stamp
+	s.record, s.revision = rec, it.Revision
 	s.lastProgress = a.env.Now()
 	if previous == nil || previous.Number != rec.Number || previous.Rollout == nil || rec.Rollout == nil || previous.Rollout.Step != rec.Rollout.Step {
 		s.mostHealthy = 0
--- a/internal/rollout/start.go
+++ b/internal/rollout/start.go
@@ -44,7 +44,7 @@
 		reply(answer.Refuse(503, 30, "a controller runs a program that knows no roll-outs: finish the upgrade first"))
 		return
 	}
-	h.read(name, reply, func(rec *Record, stamp uint64) {
+	h.read(name, reply, func(rec *Record, revision uint64) {
 		if refusal := h.checkStart(name, rec, plan); refusal != nil {
 			reply(*refusal)
 			return
@@ -60,7 +60,7 @@
 			case it != nil:
 				reply(answer.Refuse(409, 0, "there is a job %s already: each version has an id of its own, which never returns", s.ID))
 			case from == "":
-				h.create(name, rec, stamp, plan, nil, 0, reply)
+				h.create(name, rec, revision, plan, nil, 0, reply)
 			default:
 				h.store.Read(ledger.JobKey(from), func(it *statestore.Item, ok bool) {
 					if !ok {
@@ -76,7 +76,7 @@
 						reply(answer.Refuse(503, 5, "the record of job %s can't be read", from))
 						return
 					}
-					h.create(name, rec, stamp, plan, old, it.Stamp, reply)
+					h.create(name, rec, revision, plan, old, it.Revision, reply)
 				})
 			}
 		})
@@ -130,7 +130,7 @@
 }
 
 // create writes the new version and the roll-out to it in one transaction.
-func (h *Handler) create(name string, rec *Record, stamp uint64, plan *wire.Rollout, old *ledger.JobRecord, oldStamp uint64, reply func(httpx.Response)) {
+func (h *Handler) create(name string, rec *Record, revision uint64, plan *wire.Rollout, old *ledger.JobRecord, oldRevision uint64, reply func(httpx.Response)) {
 	s := plan.Job
 	from := plan.From
 	c := &Record{V: recordFormat}
@@ -140,7 +140,7 @@
 			from = c.Current.Job
 		}
 	}
-	t := wire.Txn{When: []wire.Cond{{Path: Key(name), Stamp: stamp}, {Path: ledger.JobKey(s.ID)}}}
+	t := wire.Txn{When: []wire.Cond{{Path: Key(name), Revision: revision}, {Path: ledger.JobKey(s.ID)}}}
 	if old != nil {
 		spec := old.JobSpec()
 		switch {
@@ -161,7 +161,7 @@
 			reply(answer.Refuse(422, 0, "%s", why))
 			return
 		}
-		t.When = append(t.When, wire.Cond{Path: ledger.JobKey(from), Stamp: oldStamp})
+		t.When = append(t.When, wire.Cond{Path: ledger.JobKey(from), Revision: oldRevision})
 		if old.Service == "" {
 			// The job becomes a version of this service, and can't be one of another.
 			old.SetService(name)
--- a/internal/rollout/steps.go
+++ b/internal/rollout/steps.go
@@ -80,8 +80,8 @@
 	return newBounds(old, n, p.Surge.Of(n), p.Unavailable.Of(n))
 }
 
-// failureReason returns why the roll-out of the new version must stop, "" if it may go
-// on.
+// failureReason returns why the roll-out of the new version must stop, "" if it may
+// continue.
 func (a *Actor) failureReason(s *service, updated instances) string {
 	p := s.record.Rollout.Plan
 	tolerate := p.Tolerate.Of(s.record.New.Tasks)
--- a/internal/rollout/write.go
+++ b/internal/rollout/write.go
@@ -24,7 +24,7 @@
 	}
 	s.unsavedSince = 0
 	c.Nonce = fmt.Sprintf("%x", a.env.Rand().Uint64())
-	t := wire.Txn{When: append([]wire.Cond{{Path: leader.Key, Stamp: a.token}, {Path: Key(s.name), Stamp: s.stamp}}, when...),
+	t := wire.Txn{When: append([]wire.Cond{{Path: leader.Key, Revision: a.token}, {Path: Key(s.name), Revision: s.revision}}, when...),
 		Apply: append(apply, wire.Change{Write: Key(s.name), Value: c.encode()})}
 	for _, v := range []*version{s.record.Current, s.record.New} {
 		if v == nil {
@@ -32,7 +32,7 @@
 		}
 		key := ledger.JobKey(v.Job)
 		if it, ok := a.store.Peek(key); ok && !hasCondition(t.When, key) {
-			t.When = append(t.When, wire.Cond{Path: key, Stamp: it.Stamp})
+			t.When = append(t.When, wire.Cond{Path: key, Revision: it.Revision})
 		}
 	}
 	s.writing = true
@@ -148,7 +148,7 @@
 			continue
 		}
 		rec.Final, rec.Why = ledger.Cancelled, clip(why)
-		when = append(when, wire.Cond{Path: key, Stamp: it.Stamp})
+		when = append(when, wire.Cond{Path: key, Revision: it.Revision})
 		apply = append(apply, wire.Change{Write: key, Value: rec.Encode()})
 	}
 	if p != nil {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -59,7 +59,7 @@
 	cfg := sim.Config{Seed: seed, Nodes: c.Controllers, Zones: zones, RPS: p.State.RPS, WriteRPS: p.State.WriteRPS, CloudRPS: p.Cloud.RPS,
 		Teams: teamsOf(p), Capacity: perZone, Initial: c.Workers, CPUs: c.WorkerCPUs, BootS: p.Workers.BootS,
 		TxnOps: p.State.TxnOps, ValueKB: p.State.ValueKB, PageKeys: 1000, KeepChanges: 10000,
-		Report: seconds(p.Workers.ReportS), Lease: seconds(p.Workers.LeaseS), Cancel: seconds(p.Workers.CancelS),
+		ReportInterval: seconds(p.Workers.ReportS), Lease: seconds(p.Workers.LeaseS), Cancel: seconds(p.Workers.CancelS),
 		CPUShare: p.Controller.CPUShare, MemMB: p.Controller.MemMB, Sockets: p.Controller.Sockets,
 		Objectives: []settings.Objective{
 			{Kind: "wait", Class: classUrgent, WithinS: p.Budget.UrgentStartS, Share: 0.99},
@@ -77,7 +77,7 @@
 	cpusMax := max(teamLimitFactor*share, share+float64(2*p.Load.TasksPerJob)*p.batchCPUs())
 	var teams []settings.Team
 	for i := range p.Cluster.Teams {
-		teams = append(teams, settings.Team{Name: teamName(i), CPUs: share / 2, CPUsMax: cpusMax})
+		teams = append(teams, settings.Team{Name: teamName(i), GuaranteedCPUs: share / 2, MaxCPUs: cpusMax})
 	}
 	return teams
 }
@@ -101,7 +101,7 @@
 		l.submit(sim.Job{Class: classUrgent, Kind: "sweep", Urgency: "critical", Tasks: 1, CPUs: smallTaskCPUs, RunS: urgentRunS})
 	})
 	l.arrivals(begin, d.GangsPerMinute/60, func() {
-		l.submit(sim.Job{Class: classGang, Kind: "ensemble", Urgency: "high", Tasks: d.GangTasks, CPUs: smallTaskCPUs, RunS: d.GangRunS, SamePlace: true, SnapshotS: 2, SaveS: 1})
+		l.submit(sim.Job{Class: classGang, Kind: "ensemble", Urgency: "high", Tasks: d.GangTasks, CPUs: smallTaskCPUs, RunS: d.GangRunS, OneZone: true, CheckpointS: 2, SaveS: 1})
 	})
 	l.arrivals(begin, d.ChangesPerDay/secondsPerDay, l.changeResource)
 }
--- a/internal/settings/options_test.go
+++ b/internal/settings/options_test.go
@@ -11,7 +11,7 @@
 func TestOptions(t *testing.T) {
 	o, err := ParseOptions("o", []byte("# seats\nunits.enabled = true\nunits.seat.count = 5\nunits.seat.probe = 10.0.0.9:7000/used\nunits.seat.probe.keep = 1m\nunits.other.count: 0\nfloors.most=0.3\nweight.red=2\n"))
 	if err != nil || !o.Units || o.Rollouts || len(o.Declared) != 2 || o.Declared[1].Count != 5 || o.Declared[1].Probe.Path != "/used" ||
-		o.Declared[1].Probe.Keep != time.Minute || o.Declared[1].Probe.Cautious != -1 || o.Declared[0].Probe != nil || o.Sharing.FloorFraction != 0.3 || o.Sharing.FloorJobFraction != 0.5 || o.Sharing.Weights["red"] != 2 {
+		o.Declared[1].Probe.Keep != time.Minute || o.Declared[1].Probe.Cautious != -1 || o.Declared[0].Probe != nil || o.Sharing.MinShareFraction != 0.3 || o.Sharing.MinShareJobFraction != 0.5 || o.Sharing.Weights["red"] != 2 {
 		t.Fatalf("%+v %v", o, err)
 	}
 	for _, c := range [][2]string{{"units.Seat.count=1", "small letters"}, {"units.seat.count=-1", "units.seat.count"}, {"units.seat.count=1.5", "whole number"},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,11 +23,11 @@
 
 // Team is a team with its guaranteed resources and its limits. 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective is a service-level objective of the operators.
@@ -214,7 +214,7 @@
 			return fmt.Errorf("field facts.teams[%d].name: %q is there twice", i, t.Name)
 		}
 		names[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		for _, v := range []float64{t.GuaranteedCPUs, t.MaxCPUs, t.GuaranteedGPUs, t.MaxGPUs} {
 			if !(v >= 0) || math.IsInf(v, 0) {
 				return fmt.Errorf("field facts.teams[%d]: amounts of %q must be 0 or more", i, t.Name)
 			}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -43,7 +43,7 @@
 
 func TestParse(t *testing.T) {
 	s, err := Parse("f.toml", []byte(good))
-	if err != nil || s.Facts.Teams[0].GPUsMax != 4 || s.Peers[0].Endpoint != "10.0.0.2:8081" {
+	if err != nil || s.Facts.Teams[0].MaxGPUs != 4 || s.Peers[0].Endpoint != "10.0.0.2:8081" {
 		t.Fatalf("%+v %v", s, err)
 	}
 	for _, c := range [][3]string{
--- a/internal/settings/sharing.go
+++ b/internal/settings/sharing.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Sharing configures how teams and classes share scarce capacity. A floor is the minimum
-// share of the cluster for the jobs of a class of a team.
+// Sharing configures how teams and classes share scarce capacity. Each class of a
+// team has a minimum share of the cluster for its jobs, which the settings keys call its floor.
 type Sharing struct {
-	// FloorFraction is the fraction of the cluster that the floors of the classes with the
-	// highest priority may take together, and those of all other classes as well. 0 disables
-	// floors.
-	FloorFraction float64
-	// FloorJobFraction is the fraction of a class's unfinished jobs, smallest first, that the
-	// size of its floor is computed from.
-	FloorJobFraction float64
-	// FloorPeriod is the time in which a floor is meant to complete the work of these jobs.
-	FloorPeriod time.Duration
-	// Weights are the weights of teams in admission and for floors. The weights of teams
+	// MinShareFraction is the fraction of the cluster that the minimum shares of the classes
+	// with the highest priority may take together, and those of all other classes as well. 0
+	// disables minimum shares.
+	MinShareFraction float64
+	// MinShareJobFraction is the fraction of a class's unfinished jobs, smallest first, that the
+	// size of its minimum share is computed from.
+	MinShareJobFraction float64
+	// MinSharePeriod is the time in which a minimum share is meant to complete the work of these jobs.
+	MinSharePeriod time.Duration
+	// Weights are the weights of teams in admission and for minimum shares. The weights of teams
 	// that aren't listed follow from their guarantees.
 	Weights map[string]float64
 }
 
-// DefaultSharing returns the defaults: floors for half of each class's jobs, which leave most
+// DefaultSharing returns the defaults: minimum shares for half of each class's jobs, which leave most
 // of the cluster to the normal order of jobs.
 func DefaultSharing() *Sharing {
-	return &Sharing{FloorFraction: 0.15, FloorJobFraction: 0.5, FloorPeriod: 4 * time.Minute}
+	return &Sharing{MinShareFraction: 0.15, MinShareJobFraction: 0.5, MinSharePeriod: 4 * time.Minute}
 }
 
 // Check returns an error if there is a weight for an unknown team.
@@ -65,10 +65,10 @@
 
 // teamGuarantee is the team's guaranteed GPUs or, if it has none, its guaranteed CPUs.
 func teamGuarantee(t Team) float64 {
-	if t.GPUs > 0 {
-		return t.GPUs
+	if t.GuaranteedGPUs > 0 {
+		return t.GuaranteedGPUs
 	}
-	return t.CPUs
+	return t.GuaranteedCPUs
 }
 
 // set stores the value of a key floors.* or weight.TEAM.
@@ -83,15 +83,15 @@
 	}
 	switch {
 	case key == "floors.most":
-		return number(&s.FloorFraction, 0, 0.9)
+		return number(&s.MinShareFraction, 0, 0.9)
 	case key == "floors.part":
-		return number(&s.FloorJobFraction, 0.01, 1)
+		return number(&s.MinShareJobFraction, 0.01, 1)
 	case key == "floors.over":
 		d, err := time.ParseDuration(v)
 		if err != nil || d < 10*time.Second || d > time.Hour {
 			return fmt.Errorf("%q is no time from 10s to 1h, for example 2m", v)
 		}
-		s.FloorPeriod = d
+		s.MinSharePeriod = d
 		return nil
 	case strings.HasPrefix(key, "weight.") && len(key) > len("weight."):
 		var x float64
--- a/internal/sim/cancel_model_test.go
+++ b/internal/sim/cancel_model_test.go
@@ -76,7 +76,7 @@
 	learnFromPeers        bool // the leader learns the cancellations that the others know
 	allPeers              bool // all others have to answer
 	leaseCheckOnResume    bool // a machine that resumes checks its lease first
-	forwardAll            bool // a controller that doesn't lead answers no report by itself
+	forwardAll            bool // a controller that doesn't lead answers no report itself
 	leaseFromSent         bool // a lease counts from when the report was sent, not from when its answer arrives
 }
 
@@ -105,7 +105,7 @@
 		if !conditions.forwardAll {
 			n := s
 			n.report.answered, n.report.leader = true, s.token
-			do("the forwarding controller answers by itself", n)
+			do("the forwarding controller itself answers", n)
 		}
 		return
 	}
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -48,7 +48,7 @@
 		for id, j := range map[string]*userJob{
 			"j-1": {team: "free", kind: "standing", tasks: 1, cpus: 1},
 			"j-2": {team: "blue", kind: "standing", tasks: 6, cpus: 1, gpus: 4},
-			"j-3": {team: "free", kind: "standing", tasks: 2, cpus: 1, samePlace: true},
+			"j-3": {team: "free", kind: "standing", tasks: 2, cpus: 1, oneZone: true},
 		} {
 			j.id, j.requested, j.accepted, j.results, j.saved = id, true, true, map[int]bool{}, map[int]time.Duration{}
 			w.jobs[id] = j
--- a/internal/sim/confirmed_test.go
+++ b/internal/sim/confirmed_test.go
@@ -64,9 +64,9 @@
 	}
 	w.At(5*second, func() {
 		job("j-1", Job{Kind: "sweep", Tasks: 12, CPUs: 2})
-		job("j-2", Job{Kind: "ensemble", Tasks: 3, CPUs: 2, SnapshotS: 20, SaveS: 4})
+		job("j-2", Job{Kind: "ensemble", Tasks: 3, CPUs: 2, CheckpointS: 20, SaveS: 4})
 		job("j-3", Job{Kind: "standing", Tasks: 4, CPUs: 1})
-		job("j-4", Job{Kind: "sweep", Tasks: 6, CPUs: 2, SnapshotS: 20, SaveS: 4})
+		job("j-4", Job{Kind: "sweep", Tasks: 6, CPUs: 2, CheckpointS: 20, SaveS: 4})
 		job("j-5", Job{Kind: "sweep", Tasks: 12, CPUs: 2}) // not cancelled
 	})
 	answered, reports, confirmed := 0, 0, 0
@@ -193,7 +193,7 @@
 		{name: "the old leader restarts", refusedFor: 150 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, oldCrashes: true},
 		{name: "the outage ends just before the hold", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, outageLasts: 21 * second},
 		{name: "the outage ends just after the hold", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, outageLasts: 23 * second},
-		{name: "the outage ends when the leases do", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, outageLasts: 53 * second},
+		{name: "the outage ends when the leases expire", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, outageLasts: 53 * second},
 		{name: "seven controllers", nodes: 7, refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second},
 		{name: "seven controllers, the old leader is cut from the others", nodes: 7, refusedFor: 150 * second, cancelAfter: 5 * second, outageAfter: 9 * second, askedNode: "new", cutFromPeers: true, workersReachOldOnly: true},
 		{name: "fast clock of the old leader", refusedFor: 2 * second, cancelAfter: 300 * time.Millisecond, outageAfter: 2 * second, skew: 0.0005},
--- a/internal/sim/estimates_test.go
+++ b/internal/sim/estimates_test.go
@@ -26,7 +26,7 @@
 				n++
 				w.At(at, func() {
 					w.Submit(Job{ID: id, Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + w.rng.IntN(12), CPUs: 4, RunS: run,
-						ExpectS: run * wrong, DueS: 3*run + 20, Spot: true})
+						EstimateS: run * wrong, DeadlineS: 3*run + 20, Spot: true})
 				})
 			}
 			for w.now < 1100*time.Second {
--- a/internal/sim/failing_job_test.go
+++ b/internal/sim/failing_job_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestJobWithMistake guards against a job that fails on every machine. With restarts at full speed
-// such a job of 9 tasks was started 45 times; 7 machines were set aside, and for it machines were
+// such a job of 9 tasks was started 45 times; 7 machines were returned as faulty, and for it machines were
 // rented and correct jobs preempted.
 func TestJobWithMistake(t *testing.T) {
 	for _, job := range []Job{
@@ -20,7 +20,7 @@
 			w := world(21)
 			// A correct job of lower priority fills the machines.
 			w.At(3*time.Second, func() {
-				w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Urgency: "idle", Image: "i", ImageGB: 0.1, Tasks: 22, CPUs: 4, RunS: 300, SnapshotS: 10, SaveS: 1})
+				w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Urgency: "idle", Image: "i", ImageGB: 0.1, Tasks: 22, CPUs: 4, RunS: 300, CheckpointS: 10, SaveS: 1})
 			})
 			job.ID, job.Team, job.Urgency, job.Image, job.ImageGB, job.RunS, job.Faulty = "j-2", "red", "high", "i", 0.1, 20, true
 			w.At(20*time.Second, func() { w.Submit(job) })
@@ -59,7 +59,7 @@
 }
 
 // TestBadMachine guards against blaming correct jobs when every task fails on one machine: the
-// machine must be set aside.
+// machine must be returned.
 func TestBadMachine(t *testing.T) {
 	w := world(22)
 	w.At(1*time.Second, func() { w.Machines()[2].failsTasks = true })
--- a/internal/sim/failover_limits_test.go
+++ b/internal/sim/failover_limits_test.go
@@ -137,7 +137,7 @@
 				w.checkCancelled()
 				for i := range 40 {
 					w.At(w.randomSecs(5, 100), func() {
-						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "sweep"}[i%3], Team: []string{"red", "free"}[i%2], Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 4, RunS: 3 + float64(i%20), SnapshotS: 5, SaveS: 1,
+						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "sweep"}[i%3], Team: []string{"red", "free"}[i%2], Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 4, RunS: 3 + float64(i%20), CheckpointS: 5, SaveS: 1,
 							CancelAfter: time.Duration(i%5/4) * 20 * time.Second, Spot: true, Urgency: []string{"high", "idle"}[i%2]})
 					})
 				}
@@ -181,10 +181,10 @@
 			w.checkCancelled()
 			w.SlowLinks(KindNode, KindMachine, lo, lo+0.8, 300*time.Second)
 			w.submitSteadily("urgent", 1, 3*time.Second, 10*time.Second, 260*time.Second, func(int) Job {
-				return Job{Kind: "sweep", Team: "red", Tasks: 8, CPUs: 4, RunS: 20, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 2}
+				return Job{Kind: "sweep", Team: "red", Tasks: 8, CPUs: 4, RunS: 20, Spot: true, Urgency: "high", CheckpointS: 5, SaveS: 2}
 			})
 			w.submitSteadily("low", 2, 4*time.Second, 10*time.Second, 260*time.Second, func(i int) Job {
-				return Job{Kind: []string{"sweep", "ensemble"}[i%2], Team: "free", Tasks: 6, CPUs: 8, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 3}
+				return Job{Kind: []string{"sweep", "ensemble"}[i%2], Team: "free", Tasks: 6, CPUs: 8, RunS: 30, Spot: true, Urgency: "idle", CheckpointS: 5, SaveS: 3}
 			})
 			w.OnSend = func(_ string, a actor.Call) {
 				if a.Path == "/orders" && strings.Contains(string(a.Body), `"start"`) {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -19,7 +19,7 @@
 	for i := range machines * 8 / 100 {
 		w.At(time.Duration(2000+100*i)*time.Millisecond, func() {
 			w.Submit(Job{ID: fmt.Sprintf("j-%05d", i), Kind: "sweep", Team: "free", Image: fmt.Sprint("i", i%10), ImageGB: 0.1, Tasks: 100, CPUs: 1.9,
-				RunS: 1000, SnapshotS: 10, SaveS: 1})
+				RunS: 1000, CheckpointS: 10, SaveS: 1})
 		})
 	}
 	w.Run(40*time.Second + time.Duration(machines*8/100)*100*time.Millisecond)
--- a/internal/sim/flood_test.go
+++ b/internal/sim/flood_test.go
@@ -155,11 +155,11 @@
 		for seed := range uint64(2) {
 			w := worldOf(Config{Seed: 600 + seed, Nodes: 3, NoMinShares: noMinShares, Objectives: []settings.Objective{{Kind: "wait", Class: "urgent", WithinS: 20, Share: 0.9}}})
 			w.submitSteadily("urgent", 3, 400*time.Millisecond, 10*time.Second, 320*time.Second, func(i int) Job {
-				return Job{Kind: "ensemble", Team: "free", Tasks: 1, CPUs: 16, RunS: 60, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 1}
+				return Job{Kind: "ensemble", Team: "free", Tasks: 1, CPUs: 16, RunS: 60, Spot: true, Urgency: "high", CheckpointS: 5, SaveS: 1}
 			})
 			for k, team := range []string{"free", "red"} {
 				w.submitSteadily("slow", 4+k, 6*time.Second, 60*time.Second, 280*time.Second, func(i int) Job {
-					return Job{Kind: "sweep", Team: team, Tasks: 2 + 5*(i%4), CPUs: 2, RunS: 30, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 1}
+					return Job{Kind: "sweep", Team: team, Tasks: 2 + 5*(i%4), CPUs: 2, RunS: 30, Spot: true, Urgency: "idle", CheckpointS: 5, SaveS: 1}
 				})
 			}
 			w.At(120*time.Second, func() {
--- a/internal/sim/late_test.go
+++ b/internal/sim/late_test.go
@@ -51,7 +51,7 @@
 				}
 				for i := range 50 {
 					w.At(w.randomSecs(15, 130), func() {
-						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 3, RunS: 3 + float64(i%25), SnapshotS: 5, SaveS: 1,
+						w.Submit(Job{ID: fmt.Sprintf("j-9%02d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 1 + i%4, CPUs: 3, RunS: 3 + float64(i%25), CheckpointS: 5, SaveS: 1,
 							CancelAfter: time.Duration(i%3/2)*30*time.Second + time.Duration(i%7/6)*4*time.Second})
 					})
 				}
--- a/internal/sim/limits_test.go
+++ b/internal/sim/limits_test.go
@@ -19,9 +19,9 @@
 		for i := range 220 {
 			w.At(w.randomSecs(3, 240), func() {
 				j := Job{ID: fmt.Sprintf("j-%03d", i), Kind: "sweep", Team: "blue", Image: "i", ImageGB: 0.1, Tasks: 1, CPUs: 1, GPUs: 1, RunS: 5 + 40*w.rng.Float64(),
-					Urgency: []string{"high", "standard", "idle"}[w.rng.IntN(3)], Spot: true, SnapshotS: 5, SaveS: 1}
+					Urgency: []string{"high", "standard", "idle"}[w.rng.IntN(3)], Spot: true, CheckpointS: 5, SaveS: 1}
 				if w.rng.IntN(8) == 0 {
-					j.Tasks, j.Kind, j.SamePlace = 2, "ensemble", true
+					j.Tasks, j.Kind, j.OneZone = 2, "ensemble", true
 				}
 				w.Submit(j)
 			})
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// leaseCheck ends the session when the lease has run out. It also runs while the
+// leaseCheck ends the session when the lease has expired. It also runs while the
 // machine hangs, since a worker checks the lease before anything else when it resumes.
 func (m *Machine) leaseCheck() {
 	if m.gone {
@@ -240,7 +240,7 @@
 				m.execute(r.Orders)
 			}
 			m.reporting = false
-			every := m.w.cfg.Report.Seconds()
+			every := m.w.cfg.ReportInterval.Seconds()
 			m.w.after(m.w.randomSecs(0.75*every, 1.25*every)-(m.w.now-sent), func() {
 				if m.lastReportAt == sent { // no report was sent meanwhile
 					m.report()
@@ -415,7 +415,7 @@
 	})
 }
 
-// exit ends the attempt. kept says that a snapshot of its progress was saved.
+// exit ends the attempt. kept says that a checkpoint of its progress was saved.
 func (r *runner) exit(cause string, kept bool) {
 	was := r.phase
 	r.timerGeneration++
@@ -427,7 +427,7 @@
 	r.m.w.attemptEnded(r, was)
 }
 
-// halt carries out the order to stop the task. It saves a snapshot first if the grace
+// halt carries out the order to stop the task. It saves a checkpoint first if the grace
 // period in seconds is long enough.
 func (r *runner) halt(grace float64) {
 	r.m.w.checkHalt(r)
@@ -438,7 +438,7 @@
 			r.m.w.gangOf(r).halt(r, grace)
 			return
 		}
-		if r.job.snapshotS > 0 && grace >= r.job.saveS {
+		if r.job.checkpointS > 0 && grace >= r.job.saveS {
 			r.phase = "flushing"
 			r.job.saveProgress(r.task, time.Duration(float64(r.m.w.now-r.startedAt)/max(1, r.m.SlowFactor)))
 			r.m.reportSoon()
--- a/internal/sim/model_test.go
+++ b/internal/sim/model_test.go
@@ -75,14 +75,14 @@
 // The bounds of the model: elections and attempts of the task.
 const modelMaxTokens, modelMaxAttempts = 2, 2
 
-// modelBounds limits how often a machine's lease may end and how many reports are copied.
+// modelBounds limits how often a machine's lease may expire and how many reports are copied.
 type modelBounds struct{ sessions, copies int8 }
 
 // forEachSuccessor calls do with each state that one event can lead to.
 func (s modelState) forEachSuccessor(conditions modelConditions, b modelBounds, do func(what string, n modelState)) {
 	for i := range s.leaders {
 		l := s.leaders[i]
-		if s.token < modelMaxTokens { // the lease ends; this controller is elected and reads the record
+		if s.token < modelMaxTokens { // the lease expires; this controller is elected and reads the record
 			n := s
 			n.token++
 			n.leaders[i] = modelLeader{token: n.token, revision: s.revision, attempt: s.attempt, machine: s.machine}
@@ -242,10 +242,10 @@
 			n.machines[m].running = 0
 			do("exit", n)
 		}
-		if x.session < b.sessions { // the worker's lease ends
+		if x.session < b.sessions { // the worker's lease expires
 			n := s
 			n.machines[m] = modelMachine{session: x.session + 1, token: x.token}
-			do("lease ends", n)
+			do("lease expires", n)
 		}
 	}
 }
--- a/internal/sim/no_reports_test.go
+++ b/internal/sim/no_reports_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestMachinesThatReachNoController cuts off the reports of machines for longer than cancel_s. Such
-// a worker loses its tasks whenever its lease ends, although it answers direct commands. Tasks must
+// a worker loses its tasks whenever its lease expires, although it answers direct commands. Tasks must
 // not be started there repeatedly only because it answers. Cancelled tasks must end in time, other
 // machines must do the work, all jobs must be done in the end, and no rule may be broken.
 func TestMachinesThatReachNoController(t *testing.T) {
--- a/internal/sim/outage_test.go
+++ b/internal/sim/outage_test.go
@@ -24,7 +24,7 @@
 		for i := range 14 {
 			shape := []string{"sweep", "sweep", "standing", "ensemble"}[i%4]
 			w.At(w.randomSecs(4, 12), func() {
-				w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: shape, Team: "free", Image: "i", ImageGB: 0.1, Tasks: 2 + i%2, CPUs: 2, RunS: 4000, SnapshotS: 20, SaveS: 4})
+				w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: shape, Team: "free", Image: "i", ImageGB: 0.1, Tasks: 2 + i%2, CPUs: 2, RunS: 4000, CheckpointS: 20, SaveS: 4})
 			})
 		}
 		const out = 60 * time.Second
@@ -77,7 +77,7 @@
 }
 
 // TestLeaderStaysThroughAnOutage guards against a leader that resigns in a long outage, or as soon
-// as it is over, and returns its machines because it had to refuse the workers' reports. One
+// as the outage is over, and returns its machines because it had to refuse the workers' reports. One
 // follower is cut from the leader, so that its hold ends: the time for which it answers workers
 // without a fresh proof that it leads.
 func TestLeaderStaysThroughAnOutage(t *testing.T) {
@@ -101,7 +101,7 @@
 			t.Errorf("seed %d: %d leads after the outage, %d before", seed, l, old)
 		}
 		if w.KilledByLease == 0 {
-			t.Errorf("seed %d: no lease ended: the simulation did not reach the state under test", seed)
+			t.Errorf("seed %d: no lease expired: the simulation did not reach the state under test", seed)
 		}
 		w.Run(500 * time.Second)
 		w.checkOutcome(t, 1)
--- a/internal/sim/paused_leader_test.go
+++ b/internal/sim/paused_leader_test.go
@@ -52,7 +52,7 @@
 				t.Errorf("%v: %s was returned", gap, m.Name)
 			}
 			if m.session > 1 {
-				t.Errorf("%v: the lease of %s ran out", gap, m.Name)
+				t.Errorf("%v: the lease of %s expired", gap, m.Name)
 			}
 		}
 		w.Run(400 * time.Second)
--- a/internal/sim/refused_test.go
+++ b/internal/sim/refused_test.go
@@ -81,7 +81,7 @@
 	w.checkCancelled()
 	w.At(5*time.Second, func() {
 		for i := range 8 {
-			w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: []string{"sweep", "ensemble", "standing", "sweep"}[i%4], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 4000, SnapshotS: 20, SaveS: 6})
+			w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: []string{"sweep", "ensemble", "standing", "sweep"}[i%4], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 4000, CheckpointS: 20, SaveS: 6})
 		}
 	})
 	old, confirmer, before := -1, -1, 0
@@ -121,7 +121,7 @@
 		w.At(from+asked-2*time.Second, func() {
 			for _, m := range w.Machines() { // as if a drain had stopped them
 				for _, r := range m.sortedTasks() {
-					if r.job.kind == "ensemble" || r.job.snapshotS > 0 {
+					if r.job.kind == "ensemble" || r.job.checkpointS > 0 {
 						r.beginSaving(6 * time.Second)
 					}
 				}
@@ -192,7 +192,7 @@
 }
 
 // TestHungAndCancelled cancels jobs whose machines hang. In most cases the machines resume just
-// before the end of their lease, when delayed commands arrive. The cancelled tasks must end soon
+// before their lease expires, when delayed commands arrive. The cancelled tasks must end soon
 // after that, or the machine must be returned; also if the leader has changed meanwhile, and if a
 // whole zone hangs, which looks like a network partition.
 func TestHungAndCancelled(t *testing.T) {
@@ -219,7 +219,7 @@
 				w.checkCancelled()
 				w.At(5*time.Second, func() {
 					for i := range 10 {
-						w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 3, RunS: 4000, SnapshotS: 20, SaveS: 6})
+						w.Submit(Job{ID: fmt.Sprintf("j-%d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 3, RunS: 4000, CheckpointS: 20, SaveS: 6})
 					}
 				})
 				w.At(from, func() {
--- a/internal/sim/restart_test.go
+++ b/internal/sim/restart_test.go
@@ -126,7 +126,7 @@
 }
 
 // TestCrashLoop has one node crash every 0.5 s and read all keys after each restart, 72 pages
-// with 500 ended jobs. The others go on serving and the leader stays, and the node uses little
+// with 500 ended jobs. The other nodes keep serving and the leader stays, and the node uses little
 // more than its share of the state service's request rate. When a process started with a full
 // burst of requests, the node used 115 of the 250 requests a second.
 func TestCrashLoop(t *testing.T) {
@@ -178,8 +178,8 @@
 	} {
 		w := world(78)
 		w.State.leases[99] = &stateLease{ttl: 3 * time.Second, ends: 3 * time.Second}
-		w.State.epoch++
-		w.State.keys["b/leader"] = &stateKey{value: []byte(c.value), stamp: w.State.epoch, lease: 99}
+		w.State.revision++
+		w.State.keys["b/leader"] = &stateKey{value: []byte(c.value), revision: w.State.revision, lease: 99}
 		w.checkLeaderKeyWrites(t)
 		for w.Leader() < 0 && w.now < 10*time.Second {
 			w.Run(w.now + 10*time.Millisecond)
--- a/internal/sim/restore_test.go
+++ b/internal/sim/restore_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestRestore wipes the state service 5 to 60 s after a snapshot was taken, while tasks
-// that are not in the snapshot go on running, and restores the snapshot with interruptions.
+// that are not in the snapshot keep running, and restores the snapshot with interruptions.
 // The restored cluster runs no task twice, its tokens are higher than any that workers have
 // seen, and all jobs of the snapshot are done in the end.
 func TestRestore(t *testing.T) {
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -28,14 +28,14 @@
 		if x == r || x.phase == "ended" {
 			continue
 		}
-		if j.samePlace && x.m.Zone != r.m.Zone {
+		if j.oneZone && x.m.Zone != r.m.Zone {
 			w.reportViolation("wrong_place", "%s in %s while %s is in %s", r.key, r.m.Zone, x.key, x.m.Zone)
 		}
 		if x.m.Zone == r.m.Zone && x.task != r.task {
 			inZone++
 		}
 	}
-	if j.apart && inZone > (j.tasks+1)/2 {
+	if j.spread && inZone > (j.tasks+1)/2 {
 		w.reportViolation("wrong_place", "%s starts as task number %d of %d in %s", r.key, inZone, j.tasks, r.m.Zone)
 	}
 	w.checkQuota(j.team)
--- a/internal/sim/served_test.go
+++ b/internal/sim/served_test.go
@@ -14,12 +14,12 @@
 func TestEveryClassIsServed(t *testing.T) {
 	urgent := func(tasks int, runS float64) func(int) Job {
 		return func(int) Job {
-			return Job{Kind: "sweep", Team: "free", Tasks: tasks, CPUs: 2, RunS: runS, Spot: true, Urgency: "high", SnapshotS: 5, SaveS: 1}
+			return Job{Kind: "sweep", Team: "free", Tasks: tasks, CPUs: 2, RunS: runS, Spot: true, Urgency: "high", CheckpointS: 5, SaveS: 1}
 		}
 	}
 	low := func(team string, tasks int, cpus, runS float64) func(int) Job {
 		return func(int) Job {
-			return Job{Kind: "sweep", Team: team, Tasks: tasks, CPUs: cpus, RunS: runS, Spot: true, Urgency: "idle", SnapshotS: 5, SaveS: 1}
+			return Job{Kind: "sweep", Team: team, Tasks: tasks, CPUs: cpus, RunS: runS, Spot: true, Urgency: "idle", CheckpointS: 5, SaveS: 1}
 		}
 	}
 	for _, load := range []struct {
--- a/internal/sim/service.go
+++ b/internal/sim/service.go
@@ -105,7 +105,7 @@
 	// The bounds on the number of instances during the newest roll-out.
 	maxInstances, minInstances int
 	// healthyGrace is how long an instance counts as healthy after it last was, since
-	// the controllers cannot notice the change sooner.
+	// the controllers cannot notice the change earlier.
 	healthyGrace time.Duration
 	// lastHealthy is when instances were last healthy; lostAt are the times at which
 	// instances failed or were lost with their machines.
@@ -135,7 +135,7 @@
 		d.Urgency = "standard"
 	}
 	j := &userJob{id: d.ID, kind: d.Kind, team: d.Team, image: d.Image, zone: d.Zone, urgency: d.Urgency, tasks: d.Tasks, cpus: d.CPUs, gpus: d.GPUs,
-		imageGB: d.ImageGB, samePlace: d.SamePlace, apart: d.Apart, spot: d.Spot, faulty: d.Faulty, runS: d.RunS, runSpread: d.RunSpread, snapshotS: d.SnapshotS, saveS: d.SaveS,
+		imageGB: d.ImageGB, oneZone: d.OneZone, spread: d.Spread, spot: d.Spot, faulty: d.Faulty, runS: d.RunS, runSpread: d.RunSpread, checkpointS: d.CheckpointS, saveS: d.SaveS,
 		results: map[int]bool{}, saved: map[int]time.Duration{}, requested: true, Submitted: w.now}
 	class := d.Class
 	if class == "" {
@@ -143,10 +143,10 @@
 	}
 	j.class = class
 	var zone, due any
-	if d.DueS > 0 {
-		due = d.DueS
+	if d.DeadlineS > 0 {
+		due = d.DeadlineS
 	}
-	expect := d.ExpectS
+	expect := d.EstimateS
 	if expect == 0 {
 		expect = d.RunS
 	}
@@ -166,7 +166,7 @@
 	j.units = d.Units
 	return j, map[string]any{"units": unitRequests, "ref": d.ID, "lane": class, "crew": d.Team, "shape": d.Kind, "urgency": d.Urgency, "shards": d.Tasks,
 		"cpus": d.CPUs, "gpus": d.GPUs, "memory_gb": 1.0, "bundle": d.Image, "size_gb": d.ImageGB, "hulls": nil, "yard": zone,
-		"same_place": d.SamePlace, "apart": d.Apart, "loaners": d.Spot, "expect_s": expect, "snapshot_s": d.SnapshotS, "stow_s": d.SaveS, "due_s": due}
+		"same_place": d.OneZone, "apart": d.Spread, "loaners": d.Spot, "expect_s": expect, "snapshot_s": d.CheckpointS, "stow_s": d.SaveS, "due_s": due}
 }
 
 // Rollout makes a user request a roll-out until it is accepted or refused permanently;
--- a/internal/sim/service_requests_test.go
+++ b/internal/sim/service_requests_test.go
@@ -79,9 +79,9 @@
 		t.Errorf("checks at the workers' port: %q because %q", state, why)
 	}
 	// No controller changes a record that it can't read, and such a record starts nothing.
-	w.State.epoch++
-	w.State.keys["b/s/broken"] = &stateKey{json.RawMessage(`{"v":9}`), w.State.epoch, 0}
-	w.State.record(stateEvent{Write: "b/s/broken", Value: json.RawMessage(`{"v":9}`), Stamp: w.State.epoch})
+	w.State.revision++
+	w.State.keys["b/s/broken"] = &stateKey{json.RawMessage(`{"v":9}`), w.State.revision, 0}
+	w.State.record(stateEvent{Write: "b/s/broken", Value: json.RawMessage(`{"v":9}`), Revision: w.State.revision})
 	w.State.notifyWatches()
 	w.Run(w.now + 3*time.Second)
 	asked := 0
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -27,7 +27,7 @@
 		log = slog.New(slog.NewTextHandler(os.Stdout, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	c.Zones, c.Capacity, c.Initial, c.CPUs, c.GPUs, c.BootS, c.Log = []string{"a", "b", "c"}, 8, 6, 16, 4, 15, log
-	c.Teams = []settings.Team{{Name: "red", CPUs: 60, CPUsMax: 160}, {Name: "blue", GPUs: 8, GPUsMax: 20}, {Name: "free"}}
+	c.Teams = []settings.Team{{Name: "red", GuaranteedCPUs: 60, MaxCPUs: 160}, {Name: "blue", GuaranteedGPUs: 8, MaxGPUs: 20}, {Name: "free"}}
 	return New(c)
 }
 
@@ -295,7 +295,7 @@
 }
 
 // TestLeaderCutOffFromWorkersStepsDown guards against a leader that is cut off from the
-// workers only, and keeps leading until all their leases have run out.
+// workers only, and keeps leading until all their leases have expired.
 func TestLeaderCutOffFromWorkersStepsDown(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		w := world(6)
@@ -315,7 +315,7 @@
 		}
 		for _, m := range w.Machines() {
 			if m.session > 1 {
-				t.Errorf("hold %v: the lease of %s ran out", hold, m.Name)
+				t.Errorf("hold %v: the lease of %s expired", hold, m.Name)
 			}
 		}
 		w.Run(300 * time.Second)
@@ -371,7 +371,7 @@
 	for _, s := range seeds(t, 6) {
 		w := world(s)
 		w.At(5*time.Second, func() {
-			w.Submit(Job{ID: "j-1", Kind: "ensemble", Team: "free", Image: "large", ImageGB: 40, Tasks: 4, CPUs: 16, RunS: 20, SamePlace: s%3 == 0})
+			w.Submit(Job{ID: "j-1", Kind: "ensemble", Team: "free", Image: "large", ImageGB: 40, Tasks: 4, CPUs: 16, RunS: 20, OneZone: s%3 == 0})
 		})
 		lost := false
 		var lose func()
@@ -403,7 +403,7 @@
 }
 
 // TestLeaderRefusedByStateStepsDown guards against a leader that the state service
-// refuses alone and that goes on answering the workers: each new leader got no
+// refuses alone and that keeps answering the workers: each new leader got no
 // reports, assumed that it was cut off and stepped down.
 func TestLeaderRefusedByStateStepsDown(t *testing.T) {
 	w := world(9)
--- a/internal/sim/slow_test.go
+++ b/internal/sim/slow_test.go
@@ -10,7 +10,7 @@
 
 // TestSlowMachines counts missed deadlines when some machines are much slower than the others, as
 // faulty ones are. 131 of 592 jobs missed them when slow machines were not detected, and 73 when
-// they are set aside.
+// they are drained.
 func TestSlowMachines(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []float64{1, 3} {
@@ -31,7 +31,7 @@
 				n++
 				w.At(at, func() {
 					w.Submit(Job{ID: id, Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 6 + w.rng.IntN(6), CPUs: 4, RunS: run,
-						DueS: 2*run + 20, Spot: true, SnapshotS: 5, SaveS: 1})
+						DeadlineS: 2*run + 20, Spot: true, CheckpointS: 5, SaveS: 1})
 				})
 			}
 			for w.now < 1100*time.Second {
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// State is the stand-in for the state service. Its stamps and epochs are revisions: a
-// key's stamp is that of its last change, the epoch the newest. Its permits are leases.
+// State is the stand-in for the state service. Package wire explains the names in its
+// messages.
 type State struct {
-	w       *World
-	keys    map[string]*stateKey
-	epoch   uint64
-	history []stateEvent
-	oldest  uint64 // watches from an earlier revision get 410
-	leases  map[uint64]*stateLease
-	nextID  uint64
-	watches []*stateWatch
+	w        *World
+	keys     map[string]*stateKey
+	revision uint64
+	history  []stateEvent
+	oldest   uint64 // watches from an earlier revision get 410
+	leases   map[uint64]*stateLease
+	nextID   uint64
+	watches  []*stateWatch
 	// Until outageUntil every request gets 503, until refusedUntil those of one host.
 	outageUntil   time.Duration
 	refusedUntil  map[string]time.Duration
@@ -38,16 +38,16 @@
 }
 
 type stateKey struct {
-	value json.RawMessage
-	stamp uint64
-	lease uint64
+	value    json.RawMessage
+	revision uint64
+	lease    uint64
 }
 
 type stateEvent struct {
-	Write  string          `json:"write,omitempty"`
-	Value  json.RawMessage `json:"value,omitempty"`
-	Delete string          `json:"delete,omitempty"`
-	Stamp  uint64          `json:"stamp"`
+	Write    string          `json:"write,omitempty"`
+	Value    json.RawMessage `json:"value,omitempty"`
+	Delete   string          `json:"delete,omitempty"`
+	Revision uint64          `json:"stamp"`
 }
 
 type stateLease struct {
@@ -97,13 +97,13 @@
 // Fill writes n keys with the same value. Watches from an earlier revision get 410.
 func (s *State) Fill(prefix string, n int, value string) {
 	for i := range n {
-		s.epoch++
-		s.keys[prefix+strconv.Itoa(100000+i)] = &stateKey{value: json.RawMessage(value), stamp: s.epoch}
+		s.revision++
+		s.keys[prefix+strconv.Itoa(100000+i)] = &stateKey{value: json.RawMessage(value), revision: s.revision}
 	}
-	s.oldest = s.epoch
+	s.oldest = s.revision
 }
 
-// expireLeases ends the leases that have run out, with their keys, every 50 ms.
+// expireLeases deletes the leases that have expired, with their keys, every 50 ms.
 func (s *State) expireLeases() {
 	s.w.after(50*time.Millisecond, s.expireLeases)
 	if s.w.now < s.outageUntil {
@@ -132,9 +132,9 @@
 	}
 	sort.Strings(ks)
 	for _, k := range ks {
-		s.epoch++
+		s.revision++
 		delete(s.keys, k)
-		s.record(stateEvent{Delete: k, Stamp: s.epoch})
+		s.record(stateEvent{Delete: k, Revision: s.revision})
 	}
 	if len(ks) > 0 {
 		s.notifyWatches()
@@ -144,7 +144,7 @@
 func (s *State) record(e stateEvent) {
 	s.history = append(s.history, e)
 	if len(s.history) > s.keepChanges {
-		s.oldest = s.history[len(s.history)-s.keepChanges-1].Stamp
+		s.oldest = s.history[len(s.history)-s.keepChanges-1].Revision
 		s.history = s.history[len(s.history)-s.keepChanges:]
 	}
 }
@@ -170,7 +170,7 @@
 		return false
 	}
 	var changes []stateEvent
-	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].Stamp > x.from })
+	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].Revision > x.from })
 	for _, e := range s.history[first:] {
 		if strings.HasPrefix(e.Write+e.Delete, x.prefix) {
 			changes = append(changes, e)
@@ -190,7 +190,7 @@
 	// The protocol does not promise an order within an answer.
 	s.w.rng.Shuffle(len(changes), func(i, j int) { changes[i], changes[j] = changes[j], changes[i] })
 	x.done = true
-	x.reply(200, mustJSON(map[string]any{"epoch": s.epoch, "news": changes}))
+	x.reply(200, mustJSON(map[string]any{"epoch": s.revision, "news": changes}))
 }
 
 func mustJSON(v any) []byte {
@@ -229,13 +229,13 @@
 	}
 	var t struct {
 		When []struct {
-			Path  string
-			Stamp uint64
+			Path     string
+			Revision uint64 `json:"stamp"`
 		}
 		Apply []struct {
 			Write, Delete string
 			Value         json.RawMessage
-			Permit        uint64
+			LeaseID       uint64 `json:"permit"`
 		}
 		TTL float64 `json:"ttl_ms"`
 	}
@@ -266,10 +266,10 @@
 		key := p[len("/keys/"):]
 		k := s.keys[key]
 		if k == nil {
-			reply(404, mustJSON(map[string]any{"epoch": s.epoch}))
+			reply(404, mustJSON(map[string]any{"epoch": s.revision}))
 			return
 		}
-		reply(200, mustJSON(map[string]any{"path": key, "value": k.value, "stamp": k.stamp, "permit": k.lease}))
+		reply(200, mustJSON(map[string]any{"path": key, "value": k.value, "stamp": k.revision, "permit": k.lease}))
 	case method == "GET" && p == "/keys":
 		var ks []string
 		for k := range s.keys {
@@ -283,9 +283,9 @@
 		more := len(ks) > most
 		items := []map[string]any{}
 		for _, k := range ks[:min(len(ks), most)] {
-			items = append(items, map[string]any{"path": k, "value": s.keys[k].value, "stamp": s.keys[k].stamp})
+			items = append(items, map[string]any{"path": k, "value": s.keys[k].value, "stamp": s.keys[k].revision})
 		}
-		reply(200, mustJSON(map[string]any{"items": items, "has_next": more, "epoch": s.epoch}))
+		reply(200, mustJSON(map[string]any{"items": items, "has_next": more, "epoch": s.revision}))
 	case method == "POST" && p == "/commit":
 		if len(t.Apply) > s.w.cfg.TxnOps || len(t.When) > 4*s.w.cfg.TxnOps || len(body) > 64<<10 {
 			s.w.reportViolation("limits", "a transaction of %d changes, %d conditions, %d bytes", len(t.Apply), len(t.When), len(body))
@@ -293,7 +293,7 @@
 			return
 		}
 		for _, a := range t.Apply {
-			if a.Permit != 0 && s.leases[a.Permit] == nil {
+			if a.LeaseID != 0 && s.leases[a.LeaseID] == nil {
 				reply(400, []byte(`{"error":"no such lease"}`))
 				return
 			}
@@ -305,33 +305,33 @@
 		for _, c := range t.When {
 			have := uint64(0)
 			if k := s.keys[c.Path]; k != nil {
-				have = k.stamp
+				have = k.revision
 			}
-			if have != c.Stamp {
+			if have != c.Revision {
 				failed = append(failed, c.Path)
 			}
 		}
 		if len(failed) > 0 {
-			reply(409, mustJSON(map[string]any{"failed": failed, "epoch": s.epoch}))
+			reply(409, mustJSON(map[string]any{"failed": failed, "epoch": s.revision}))
 			return
 		}
 		if len(t.Apply) > 0 {
-			s.epoch++
+			s.revision++
 			s.Changes += len(t.Apply)
 			for _, a := range t.Apply {
 				if a.Delete != "" {
 					if s.keys[a.Delete] != nil {
 						delete(s.keys, a.Delete)
-						s.record(stateEvent{Delete: a.Delete, Stamp: s.epoch})
+						s.record(stateEvent{Delete: a.Delete, Revision: s.revision})
 					}
 					continue
 				}
-				s.keys[a.Write] = &stateKey{append(json.RawMessage(nil), a.Value...), s.epoch, a.Permit}
-				s.record(stateEvent{Write: a.Write, Value: s.keys[a.Write].value, Stamp: s.epoch})
+				s.keys[a.Write] = &stateKey{append(json.RawMessage(nil), a.Value...), s.revision, a.LeaseID}
+				s.record(stateEvent{Write: a.Write, Value: s.keys[a.Write].value, Revision: s.revision})
 			}
 			s.notifyWatches()
 		}
-		reply(200, mustJSON(map[string]any{"epoch": s.epoch}))
+		reply(200, mustJSON(map[string]any{"epoch": s.revision}))
 	case method == "POST" && p == "/grants":
 		s.nextID++
 		ttl := time.Duration(t.TTL * float64(time.Millisecond))
@@ -377,7 +377,7 @@
 
 // Wipe deletes all data of the service, whose revisions start from 1 again.
 func (s *State) Wipe() {
-	s.keys, s.leases, s.history, s.epoch, s.oldest = map[string]*stateKey{}, map[uint64]*stateLease{}, nil, 0, 0
+	s.keys, s.leases, s.history, s.revision, s.oldest = map[string]*stateKey{}, map[uint64]*stateLease{}, nil, 0, 0
 	for _, x := range s.watches {
 		x.done = true
 	}
--- a/internal/sim/transport.go
+++ b/internal/sim/transport.go
@@ -121,7 +121,7 @@
 		return nil
 	}
 	j := &userJob{id: d.Ref, kind: d.Kind, team: d.Team, image: d.Image, urgency: d.Urgency, tasks: d.Tasks, cpus: d.CPUs, gpus: d.GPUs,
-		imageGB: d.SizeGB, samePlace: d.SamePlace, apart: d.Apart, spot: d.Spot, runS: d.ExpectS, snapshotS: d.SnapshotS, saveS: d.SaveS,
+		imageGB: d.SizeGB, oneZone: d.SamePlace, spread: d.Apart, spot: d.Spot, runS: d.ExpectS, checkpointS: d.SnapshotS, saveS: d.SaveS,
 		results: map[int]bool{}, saved: map[int]time.Duration{}, requested: true, Submitted: w.now}
 	if d.Zone != nil {
 		j.zone = *d.Zone
--- a/internal/sim/units_test.go
+++ b/internal/sim/units_test.go
@@ -172,7 +172,7 @@
 	}
 	w.At(2*time.Second, func() { set(map[string]any{"count": 6, "by": "ana"}) })
 	w.At(5*time.Second, func() {
-		w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 1, RunS: 60, Units: map[string]int{"seat": 1}, SnapshotS: 5, SaveS: 1})
+		w.Submit(Job{ID: "j-1", Kind: "sweep", Team: "free", Image: "i", ImageGB: 0.1, Tasks: 12, CPUs: 1, RunS: 60, Units: map[string]int{"seat": 1}, CheckpointS: 5, SaveS: 1})
 	})
 	expect := func(n int, what string) {
 		t.Helper()
@@ -311,7 +311,7 @@
 		w.SetUnits("seat", map[string]any{"count": 6, "reserve": map[string]int{"high": 1}, "teams": map[string]any{"red": map[string]int{"most": 2}}}, nil)
 	})
 	job := func(id, team, urgency string, tasks int) {
-		w.Submit(Job{ID: id, Kind: "sweep", Team: team, Urgency: urgency, Image: "i", ImageGB: 0.1, Tasks: tasks, CPUs: 1, RunS: 400, SnapshotS: 5, SaveS: 1, Units: map[string]int{"seat": 1}})
+		w.Submit(Job{ID: id, Kind: "sweep", Team: team, Urgency: urgency, Image: "i", ImageGB: 0.1, Tasks: tasks, CPUs: 1, RunS: 400, CheckpointS: 5, SaveS: 1, Units: map[string]int{"seat": 1}})
 	}
 	use := func(id string) (n int) {
 		for _, m := range w.Machines() {
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -14,25 +14,25 @@
 
 // userJob is a job as its user and the stand-ins see it.
 type userJob struct {
-	id, kind, team, image, zone    string
-	urgency, class                 string
-	submitTimedOut                 bool
-	tasks                          int
-	cpus, gpus, imageGB            float64
-	samePlace, apart, spot, faulty bool
-	runS, snapshotS, saveS         float64
-	runSpread                      float64
-	requested, accepted            bool
-	cancelAsked                    bool
-	cancelledAt                    time.Duration
-	reportedDone                   bool
-	results                        map[int]bool
-	attempts                       map[*runner]struct{} // that machines know
-	saved                          map[int]time.Duration
-	acceptedAt, reportedDoneAt     time.Duration
-	Submitted                      time.Duration
-	polls                          int
-	units                          map[string]int // of counted resources, for each task
+	id, kind, team, image, zone   string
+	urgency, class                string
+	submitTimedOut                bool
+	tasks                         int
+	cpus, gpus, imageGB           float64
+	oneZone, spread, spot, faulty bool
+	runS, checkpointS, saveS      float64
+	runSpread                     float64
+	requested, accepted           bool
+	cancelAsked                   bool
+	cancelledAt                   time.Duration
+	reportedDone                  bool
+	results                       map[int]bool
+	attempts                      map[*runner]struct{} // that machines know
+	saved                         map[int]time.Duration
+	acceptedAt, reportedDoneAt    time.Duration
+	Submitted                     time.Duration
+	polls                         int
+	units                         map[string]int // of counted resources, for each task
 	// service is the name of the service if the job is a version of one, port is where its
 	// instances are checked.
 	service string
@@ -79,17 +79,17 @@
 // is an array, an ensemble a gang and standing a service; the urgencies are critical, high,
 // standard and idle.
 type Job struct {
-	ID, Kind, Team, Image, Zone    string
-	Urgency, Class                 string // Class "": derived from Kind
-	Tasks                          int
-	CPUs, GPUs, ImageGB            float64
-	SamePlace, Apart, Spot, Faulty bool
-	RunS, SnapshotS, SaveS         float64
+	ID, Kind, Team, Image, Zone   string
+	Urgency, Class                string // Class "": derived from Kind
+	Tasks                         int
+	CPUs, GPUs, ImageGB           float64
+	OneZone, Spread, Spot, Faulty bool
+	RunS, CheckpointS, SaveS      float64
 	// RunSpread is the fraction of RunS by which the run times of tasks vary at most.
-	RunSpread     float64
-	ExpectS, DueS float64 // the owner's estimate, 0: RunS; the deadline, 0: none
-	CancelAfter   time.Duration
-	Units         map[string]int // of counted resources, for each task
+	RunSpread            float64
+	EstimateS, DeadlineS float64 // the owner's estimate, 0: RunS; the deadline, 0: none
+	CancelAfter          time.Duration
+	Units                map[string]int // of counted resources, for each task
 }
 
 // pickNode is the node that a request of a user goes to.
@@ -337,7 +337,7 @@
 	switch r.IntN(6) {
 	case 0, 1:
 		j.Kind, j.Tasks = "ensemble", 1+r.IntN(4)
-		j.SamePlace = r.IntN(2) == 0
+		j.OneZone = r.IntN(2) == 0
 		if r.IntN(2) == 0 {
 			j.CPUs = w.cfg.CPUs
 		}
@@ -356,12 +356,12 @@
 		j.Zone = w.cfg.Zones[r.IntN(len(w.cfg.Zones))]
 	case 2:
 		if j.Kind != "ensemble" {
-			j.Apart = true
-			j.SamePlace = false
+			j.Spread = true
+			j.OneZone = false
 		}
 	}
 	if r.IntN(2) == 0 {
-		j.SnapshotS, j.SaveS = 5, 1
+		j.CheckpointS, j.SaveS = 5, 1
 	}
 	if r.IntN(6) == 0 && j.CancelAfter == 0 {
 		j.CancelAfter = w.randomSecs(0.1, 60)
--- a/internal/sim/waiting.go
+++ b/internal/sim/waiting.go
@@ -89,7 +89,7 @@
 	}
 	byZone := map[string]int{}
 	for _, m := range v.machines {
-		if j.zone != "" && m.Zone != j.zone || m.Spot && !j.spot || j.samePlace && zoneInUse != "" && m.Zone != zoneInUse {
+		if j.zone != "" && m.Zone != j.zone || m.Spot && !j.spot || j.oneZone && zoneInUse != "" && m.Zone != zoneInUse {
 			continue
 		}
 		k, f := n, v.free[m]
@@ -100,13 +100,13 @@
 	}
 	all, most := 0, 0
 	for z, k := range byZone {
-		if j.apart {
+		if j.spread {
 			k = min(k, (j.tasks+1)/2-tasksByZone[z])
 		}
 		all += max(0, k)
 		most = max(most, k)
 	}
-	if j.samePlace {
+	if j.oneZone {
 		return most >= n
 	}
 	return all >= n
@@ -114,7 +114,7 @@
 
 // over reports whether the use exceeds the team's limit.
 func over(t settings.Team, cpus, gpus float64) bool {
-	return t.CPUsMax > 0 && cpus > t.CPUsMax+1e-6 || t.GPUsMax > 0 && gpus > t.GPUsMax+1e-6
+	return t.MaxCPUs > 0 && cpus > t.MaxCPUs+1e-6 || t.MaxGPUs > 0 && gpus > t.MaxGPUs+1e-6
 }
 
 // watchWaiting looks, from the end of all injected faults on, for jobs that are not started
--- a/internal/sim/waiting_test.go
+++ b/internal/sim/waiting_test.go
@@ -24,8 +24,8 @@
 		"j-4": {kind: "sweep", team: "free", tasks: 1, cpus: 17},               // no machine is so large
 		"j-5": {kind: "standing", team: "blue", tasks: 1, cpus: 1, gpus: 21},   // the limit is 20
 		"j-6": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, zone: "a"}, // zone a has two machines
-		"j-7": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, apart: true},
-		"j-8": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, samePlace: true},
+		"j-7": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, spread: true},
+		"j-8": {kind: "ensemble", team: "free", tasks: 3, cpus: 16, oneZone: true},
 		"j-9": {kind: "sweep", team: "free", tasks: 3, cpus: 2, cancelAsked: true},
 	} {
 		j.id, j.requested, j.accepted, j.results, j.saved = id, true, true, map[int]bool{}, map[int]time.Duration{}
@@ -48,11 +48,11 @@
 // waitingRegressionSeeds are seeds that once left jobs waiting. They run first.
 var waitingRegressionSeeds = []uint64{25, 52, 59, 76, 82, 113}
 
-// TestNobodyIsLeftWaiting draws random conditions that delay work: jobs that look faulty because
-// their machines are, machines set aside as slow or faulty, wide gangs among small work, arrays
+// TestNoJobIsLeftWaiting draws random conditions that delay work: jobs that look faulty because
+// their machines are, machines that leave as slow or faulty, wide gangs among small work, arrays
 // bound to a zone that loses machines, teams at their limits, lost leaders and network cuts. Once
 // all faults are over no job may wait for 90 s while there is room for it.
-func TestNobodyIsLeftWaiting(t *testing.T) {
+func TestNoJobIsLeftWaiting(t *testing.T) {
 	for _, s := range append(waitingRegressionSeeds, seeds(t, 24)...) {
 		t.Run(strconv.FormatUint(s, 10), func(t *testing.T) {
 			t.Parallel()
@@ -67,9 +67,9 @@
 					j := w.randomJob(id)
 					switch w.rng.IntN(5) {
 					case 0: // a wide gang
-						j.Kind, j.Tasks, j.CPUs, j.GPUs, j.Team, j.Apart = "ensemble", 3+w.rng.IntN(5), 16, 0, "free", false
+						j.Kind, j.Tasks, j.CPUs, j.GPUs, j.Team, j.Spread = "ensemble", 3+w.rng.IntN(5), 16, 0, "free", false
 					case 1:
-						j.Kind, j.SamePlace, j.Apart, j.Zone = []string{"sweep", "standing"}[w.rng.IntN(2)], true, false, ""
+						j.Kind, j.OneZone, j.Spread, j.Zone = []string{"sweep", "standing"}[w.rng.IntN(2)], true, false, ""
 						j.Tasks, j.Team = 2+w.rng.IntN(12), "free"
 					}
 					if j.Kind == "standing" {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -33,7 +33,7 @@
 	// faults. Watches that begin before the last KeepChanges changes, 0: 300, are refused.
 	TxnOps, ValueKB, PageKeys, KeepChanges int
 	// Report is the mean interval of a worker's reports, 0: 3 s.
-	Report time.Duration
+	ReportInterval time.Duration
 	// CPUShare, MemMB and Sockets are a controller's limits, 0: no limit stated, 125 and 1,000.
 	CPUShare, MemMB float64
 	Sockets         int
@@ -118,7 +118,7 @@
 	// LongestCancelled is the longest time that a task was on its machine after its user
 	// received the answer that the job is cancelled.
 	LongestCancelled time.Duration
-	// KilledByLease counts the tasks that ran when their worker's lease ran out.
+	// KilledByLease counts the tasks that ran when their worker's lease expired.
 	KilledByLease int
 	// OnStart is called with every start that a worker executes, OnEnd with every job whose
 	// last task has completed.
@@ -182,7 +182,7 @@
 	cfg.CloudRPS = cmp.Or(cfg.CloudRPS, 4)
 	cfg.TxnOps, cfg.ValueKB = cmp.Or(cfg.TxnOps, 12), cmp.Or(cfg.ValueKB, 4)
 	cfg.PageKeys, cfg.KeepChanges = cmp.Or(cfg.PageKeys, 7), cmp.Or(cfg.KeepChanges, 300)
-	cfg.Report = cmp.Or(cfg.Report, 3*time.Second)
+	cfg.ReportInterval = cmp.Or(cfg.ReportInterval, 3*time.Second)
 	cfg.MemMB, cfg.Sockets = cmp.Or(cfg.MemMB, 125), cmp.Or(cfg.Sockets, 1000)
 	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), jobs: map[string]*userJob{}, gangs: map[string]*gang{}, services: map[string]*userService{}, units: map[string][]unitCount{},
 		use: map[string]*teamUse{}, limits: map[string]settings.Team{}, cuts: map[[2]string]*cut{}, slowLinks: map[[2]int]slowLink{}, Answered: map[int]int{}, log: cfg.Log, transport: cfg.Transport}
@@ -204,7 +204,7 @@
 		}
 		f := &s.Facts
 		f.Nodes, f.Zones, f.Teams, f.Objectives = cfg.Nodes, cfg.Zones, cfg.Teams, cfg.Objectives
-		f.Workers.ReportS, f.Workers.LeaseS, f.Workers.GangWaitS, f.Workers.GangPeerS, f.Workers.CancelS = cfg.Report.Seconds(), w.lease().Seconds(), 30, 5, w.cancelDeadline().Seconds()+cfg.CancelOverstatement.Seconds()
+		f.Workers.ReportS, f.Workers.LeaseS, f.Workers.GangWaitS, f.Workers.GangPeerS, f.Workers.CancelS = cfg.ReportInterval.Seconds(), w.lease().Seconds(), 30, 5, w.cancelDeadline().Seconds()+cfg.CancelOverstatement.Seconds()
 		f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = cfg.RPS, cfg.WriteRPS, float64(cfg.ValueKB), cfg.TxnOps
 		f.Cloud.RPS, f.Cloud.ListLagS = cfg.CloudRPS, 4
 		f.Limits.CPUShare, f.Limits.MemMB, f.Limits.Sockets = cfg.CPUShare, cfg.MemMB, cfg.Sockets
--- a/internal/sim/zone_test.go
+++ b/internal/sim/zone_test.go
@@ -36,7 +36,7 @@
 	lasts := w.lease() + w.randomSecs(5, 40)
 	w.At(5*time.Second, func() {
 		for i := range 12 {
-			w.Submit(Job{ID: fmt.Sprintf("j-9%d", i), Kind: []string{"sweep", "standing", "ensemble"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 100, SnapshotS: 10, SaveS: 2})
+			w.Submit(Job{ID: fmt.Sprintf("j-9%d", i), Kind: []string{"sweep", "standing", "ensemble"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3, CPUs: 2, RunS: 100, CheckpointS: 10, SaveS: 2})
 		}
 	})
 	insideNode, zoneTasks, confirmed := -1, 0, 0
@@ -153,10 +153,10 @@
 				w.checkCancelled()
 				w.At(5*time.Second, func() {
 					for i := range 9 {
-						j := Job{ID: fmt.Sprintf("j-9%d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3 + i%3, CPUs: 4, RunS: 60 + float64(10*i), SnapshotS: 10, SaveS: 2,
-							SamePlace: true, CancelAfter: time.Duration(i%3/2) * 300 * time.Second}
+						j := Job{ID: fmt.Sprintf("j-9%d", i), Kind: []string{"sweep", "ensemble", "standing"}[i%3], Team: "free", Image: "i", ImageGB: 0.1, Tasks: 3 + i%3, CPUs: 4, RunS: 60 + float64(10*i), CheckpointS: 10, SaveS: 2,
+							OneZone: true, CancelAfter: time.Duration(i%3/2) * 300 * time.Second}
 						if c.apart && i%2 == 0 {
-							j.SamePlace, j.Apart = false, true
+							j.OneZone, j.Spread = false, true
 						}
 						if c.pinned && i < 3 {
 							j.Zone = "a"
--- a/internal/snapshot/fetch.go
+++ b/internal/snapshot/fetch.go
@@ -34,14 +34,14 @@
 		if err != nil {
 			return nil, err
 		}
-		epoch, err := applyChanges(ask, items, first, newest)
+		storeRevision, err := applyChanges(ask, items, first, newest)
 		if errors.Is(err, errTooOld) {
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		s := &Snapshot{Epoch: epoch, AtMS: now().UnixMilli()}
+		s := &Snapshot{Revision: storeRevision, AtMS: now().UnixMilli()}
 		for _, it := range items {
 			s.Items = append(s.Items, it)
 		}
@@ -74,16 +74,16 @@
 			return nil, 0, 0, err
 		}
 		if first == 0 {
-			first = p.Epoch
+			first = p.Revision
 		}
-		newest = max(newest, p.Epoch)
+		newest = max(newest, p.Revision)
 		last := after
 		for _, it := range p.Items {
 			if it.Path <= after {
 				return nil, 0, 0, fmt.Errorf("the state service returned key %s where only later ones were requested", it.Path)
 			}
 			last = max(last, it.Path)
-			items[it.Path] = Item{it.Path, append([]byte(nil), it.Value...), it.Stamp}
+			items[it.Path] = Item{it.Path, append([]byte(nil), it.Value...), it.Revision}
 		}
 		if !p.HasNext {
 			return items, first, newest, nil
@@ -98,8 +98,8 @@
 // applyChanges updates the keys to one revision, which it returns. The revision is newest or
 // a later one.
 func applyChanges(ask Asker, items map[string]Item, first, newest uint64) (uint64, error) {
-	for epoch := first; ; {
-		status, b, err := ask.Ask("GET", wire.PathChanges+"?under="+Prefix+"&from="+strconv.FormatUint(epoch, 10)+"&block_ms=0", nil)
+	for storeRevision := first; ; {
+		status, b, err := ask.Ask("GET", wire.PathChanges+"?under="+Prefix+"&from="+strconv.FormatUint(storeRevision, 10)+"&block_ms=0", nil)
 		if err != nil {
 			return 0, err
 		}
@@ -115,28 +115,28 @@
 		}
 		for _, e := range n.Events {
 			key := e.Write + e.Delete
-			if it, ok := items[key]; ok && it.Stamp > e.Stamp {
+			if it, ok := items[key]; ok && it.Revision > e.Revision {
 				continue
 			}
 			if e.Delete != "" {
 				// A deleted key stays, without a value: the events are in no order, and an
-				// event with a lower stamp must not bring the key back.
-				items[key] = Item{Path: key, Stamp: e.Stamp}
+				// event with a lower revision must not bring the key back.
+				items[key] = Item{Path: key, Revision: e.Revision}
 			} else {
-				items[key] = Item{key, append([]byte(nil), e.Value...), e.Stamp}
+				items[key] = Item{key, append([]byte(nil), e.Value...), e.Revision}
 			}
 		}
-		if n.Epoch < epoch {
-			return 0, fmt.Errorf("the state service's revision went back from %d to %d", epoch, n.Epoch)
+		if n.Revision < storeRevision {
+			return 0, fmt.Errorf("the state service's revision went back from %d to %d", storeRevision, n.Revision)
 		}
-		epoch = n.Epoch
-		if epoch >= newest {
+		storeRevision = n.Revision
+		if storeRevision >= newest {
 			for k, it := range items {
 				if it.Value == nil {
 					delete(items, k)
 				}
 			}
-			return epoch, nil
+			return storeRevision, nil
 		}
 	}
 }
--- a/internal/snapshot/restore.go
+++ b/internal/snapshot/restore.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	m := restoreProgress{V: 1, Sum: s.Sum(), All: len(s.Items)}
-	stamp := uint64(0)
+	revision := uint64(0)
 	if it, ok := items[leader.RestoreKey]; ok {
 		var previous restoreProgress
 		if err := json.Unmarshal(it.Value, &previous); err != nil || previous.V != 1 {
@@ -47,7 +47,7 @@
 		if previous.Sum != m.Sum || previous.All != m.All {
 			return fmt.Errorf("%w: a restore of another file is under way, at %d of %d keys", ErrNotEmpty, previous.Next, previous.All)
 		}
-		m, stamp = previous, it.Stamp
+		m, revision = previous, it.Revision
 	} else if it, ok := items[leader.BaseKey]; ok && items[leader.Key].Path == "" && restoredFrom(it, m.Sum) {
 		return nil // an earlier call finished the restore, but its last answer was lost
 	} else if len(items) > 0 {
@@ -61,7 +61,7 @@
 	}
 	ops = max(2, ops) - 1 // one change is the progress record
 	for {
-		t := wire.Txn{When: []wire.Cond{{Path: leader.RestoreKey, Stamp: stamp}, {Path: leader.Key}}}
+		t := wire.Txn{When: []wire.Cond{{Path: leader.RestoreKey, Revision: revision}, {Path: leader.Key}}}
 		next := m.Next
 		for ; next < len(s.Items) && len(t.Apply) < ops; next++ {
 			it := &s.Items[next]
@@ -84,15 +84,15 @@
 		}
 		if status == 409 {
 			// An earlier copy of this request may have been applied without an answer.
-			ours, now, err := applied(ask, m, last, s)
+			wasApplied, now, err := applied(ask, m, last, s)
 			if err != nil {
 				return err
 			}
-			if ours && last {
+			if wasApplied && last {
 				return nil
 			}
-			if ours {
-				stamp = now
+			if wasApplied {
+				revision = now
 				continue
 			}
 			return fmt.Errorf("another process writes to the state service (%s): stop all controllers and other restores, then run the restore again", b)
@@ -101,7 +101,7 @@
 		if status != 200 || err != nil {
 			return fmt.Errorf("the state service answered %d %.200s to a write", status, b)
 		}
-		stamp = o.Epoch
+		revision = o.Revision
 		if progress != nil {
 			progress(m.Next, m.All)
 		}
@@ -114,7 +114,7 @@
 // restoreBase returns the base of a restored cluster's tokens and attempts. It is above all
 // that the snapshot's cluster can have used, and includes that cluster's own base.
 func restoreBase(s *Snapshot) leader.Base {
-	b := leader.Base{V: 1, Token: s.Epoch + TokenMargin, Attempts: AttemptMargin, Sum: s.Sum()}
+	b := leader.Base{V: 1, Token: s.Revision + TokenMargin, Attempts: AttemptMargin, Sum: s.Sum()}
 	for i := range s.Items {
 		if s.Items[i].Path == leader.BaseKey {
 			var previous leader.Base
@@ -136,7 +136,7 @@
 
 // applied reports whether a refused transaction was already applied, and returns the
 // revision of its record.
-func applied(ask Asker, m restoreProgress, last bool, s *Snapshot) (ours bool, stamp uint64, err error) {
+func applied(ask Asker, m restoreProgress, last bool, s *Snapshot) (wasApplied bool, revision uint64, err error) {
 	key := leader.RestoreKey
 	if last {
 		key = leader.BaseKey
@@ -151,8 +151,8 @@
 	}
 	if last {
 		var got leader.Base
-		return json.Unmarshal(it.Value, &got) == nil && got.Token == restoreBase(s).Token, it.Stamp, nil
+		return json.Unmarshal(it.Value, &got) == nil && got.Token == restoreBase(s).Token, it.Revision, nil
 	}
 	var got restoreProgress
-	return json.Unmarshal(it.Value, &got) == nil && got == m, it.Stamp, nil
+	return json.Unmarshal(it.Value, &got) == nil && got == m, it.Revision, nil
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -31,25 +31,25 @@
 	maxKeys = 5_000_000
 )
 
-// Item is a key with its value and the revision of its last change, Stamp.
+// Item is a key with its value and revision, which the file calls its stamp.
 type Item struct {
-	Path  string          `json:"path"`
-	Value json.RawMessage `json:"value"`
-	Stamp uint64          `json:"stamp"`
+	Path     string          `json:"path"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
 }
 
-// Snapshot is a cluster's whole state at the revision Epoch, sorted by key.
+// Snapshot is a cluster's whole state at a revision of the store, sorted by key.
 type Snapshot struct {
-	Epoch uint64
-	AtMS  int64
-	Items []Item
+	Revision uint64
+	AtMS     int64
+	Items    []Item
 }
 
 // header is the first line of the compressed part of a file.
 type header struct {
-	Epoch uint64 `json:"epoch"`
-	AtMS  int64  `json:"at_ms"`
-	Keys  int    `json:"keys"`
+	Revision uint64 `json:"epoch"`
+	AtMS     int64  `json:"at_ms"`
+	Keys     int    `json:"keys"`
 }
 
 // trailer is the last line of the compressed part of a file.
@@ -77,7 +77,7 @@
 		return err
 	}
 	both := io.MultiWriter(z, sum)
-	if err := line(header{s.Epoch, s.AtMS, len(s.Items)}, both); err != nil {
+	if err := line(header{s.Revision, s.AtMS, len(s.Items)}, both); err != nil {
 		return err
 	}
 	for i := range s.Items {
@@ -133,13 +133,13 @@
 	if err := json.Unmarshal(b, &h); err != nil || h.Keys < 0 || h.Keys > maxKeys {
 		return nil, fmt.Errorf("damaged: invalid header: %.80q", b)
 	}
-	s := &Snapshot{Epoch: h.Epoch, AtMS: h.AtMS, Items: make([]Item, 0, min(h.Keys, 1<<16))}
+	s := &Snapshot{Revision: h.Revision, AtMS: h.AtMS, Items: make([]Item, 0, min(h.Keys, 1<<16))}
 	for i := range h.Keys {
 		if b, err = next(sum); err != nil {
 			return nil, fmt.Errorf("key %d of %d: %w", i+1, h.Keys, err)
 		}
 		var it Item
-		if err := json.Unmarshal(bytes.Clone(b), &it); err != nil || it.Path == "" || it.Stamp == 0 || len(it.Value) == 0 {
+		if err := json.Unmarshal(bytes.Clone(b), &it); err != nil || it.Path == "" || it.Revision == 0 || len(it.Value) == 0 {
 			return nil, fmt.Errorf("key %d of %d is invalid: %.80q", i+1, h.Keys, b)
 		}
 		if n := len(s.Items); n > 0 && s.Items[n-1].Path >= it.Path {
@@ -167,7 +167,7 @@
 func (s *Snapshot) Sum() string {
 	h := sha256.New()
 	for i := range s.Items {
-		fmt.Fprintf(h, "%s %d %s\n", s.Items[i].Path, s.Items[i].Stamp, s.Items[i].Value)
+		fmt.Fprintf(h, "%s %d %s\n", s.Items[i].Path, s.Items[i].Revision, s.Items[i].Value)
 	}
 	return hex.EncodeToString(h.Sum(nil))[:32]
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -16,7 +16,7 @@
 )
 
 func sample(n int) *Snapshot {
-	s := &Snapshot{Epoch: 900, AtMS: 5}
+	s := &Snapshot{Revision: 900, AtMS: 5}
 	for i := range n {
 		s.Items = append(s.Items, Item{fmt.Sprintf("b/j/j-%04d", i), json.RawMessage(fmt.Sprintf(`{"v":2,"f":"done","at":5,"k":%d}`, i+1)), uint64(i + 1)})
 	}
@@ -33,7 +33,7 @@
 	}
 	file := w.Bytes()
 	got, err := Read(bytes.NewReader(file))
-	if err != nil || got.Epoch != 900 || got.AtMS != 5 || len(got.Items) != 300 || got.Sum() != s.Sum() {
+	if err != nil || got.Revision != 900 || got.AtMS != 5 || len(got.Items) != 300 || got.Sum() != s.Sum() {
 		t.Fatalf("%v %v", got, err)
 	}
 	plain := 0
@@ -86,19 +86,19 @@
 type service struct {
 	rng           *rand.Rand
 	keys          map[string]Item
-	epoch         uint64
+	revision      uint64
 	history       []string // key of each revision
 	keptRevisions int
 	fault         string
 }
 
 func (s *service) change() {
-	s.epoch++
+	s.revision++
 	key := fmt.Sprintf("b/j/j-%03d", s.rng.IntN(400))
 	if _, ok := s.keys[key]; ok && s.rng.IntN(3) == 0 {
 		delete(s.keys, key)
 	} else {
-		s.keys[key] = Item{key, json.RawMessage(strconv.FormatUint(s.epoch, 10)), s.epoch}
+		s.keys[key] = Item{key, json.RawMessage(strconv.FormatUint(s.revision, 10)), s.revision}
 	}
 	s.history = append(s.history, key)
 }
@@ -116,20 +116,20 @@
 	enc := func(v any) []byte { b, _ := json.Marshal(v); return b }
 	if strings.HasPrefix(path, "/changes") {
 		from, _ := strconv.ParseUint(q["from"], 10, 64)
-		if int(s.epoch-from) > s.keptRevisions {
+		if int(s.revision-from) > s.keptRevisions {
 			return 410, []byte("{}"), nil
 		}
 		news := []map[string]any{}
-		for e := from + 1; e <= s.epoch; e++ {
+		for e := from + 1; e <= s.revision; e++ {
 			key := s.history[e-1]
-			if it, ok := s.keys[key]; ok && it.Stamp == e {
+			if it, ok := s.keys[key]; ok && it.Revision == e {
 				news = append(news, map[string]any{"write": key, "value": it.Value, "stamp": e})
 			} else if !ok {
 				news = append(news, map[string]any{"delete": key, "stamp": e})
 			}
 		}
 		s.rng.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
-		return 200, enc(map[string]any{"epoch": s.epoch, "news": news}), nil
+		return 200, enc(map[string]any{"epoch": s.revision, "news": news}), nil
 	}
 	items := []Item{}
 	for i := range 400 {
@@ -144,12 +144,12 @@
 		s.rng.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 	case "again":
 		if q["from"] != "" {
-			return 200, enc(map[string]any{"items": []Item{{"b/j/j-000", json.RawMessage("1"), 1}}, "has_next": true, "epoch": s.epoch}), nil
+			return 200, enc(map[string]any{"items": []Item{{"b/j/j-000", json.RawMessage("1"), 1}}, "has_next": true, "epoch": s.revision}), nil
 		}
 	case "garbage":
 		return 200, []byte("null"), nil
 	}
-	return 200, enc(map[string]any{"items": items, "has_next": more, "epoch": s.epoch}), nil
+	return 200, enc(map[string]any{"items": items, "has_next": more, "epoch": s.revision}), nil
 }
 
 // TestFetch checks copies of a live cluster. The copy is of one revision although keys
@@ -167,16 +167,16 @@
 			t.Fatal(err)
 		}
 		// Nothing has changed since the last answer, so the copy must equal the current keys.
-		if got.Epoch != s.epoch {
-			t.Fatalf("seed %d: the copy has revision %d, the last answer had %d", seed, got.Epoch, s.epoch)
+		if got.Revision != s.revision {
+			t.Fatalf("seed %d: the copy has revision %d, the last answer had %d", seed, got.Revision, s.revision)
 		}
 		want = s.keys
 		if len(got.Items) != len(want) {
 			t.Fatalf("seed %d: the copy has %d keys, the service %d", seed, len(got.Items), len(want))
 		}
 		for i, it := range got.Items {
-			if w := want[it.Path]; w.Stamp != it.Stamp || string(w.Value) != string(it.Value) || i > 0 && got.Items[i-1].Path >= it.Path {
-				t.Fatalf("seed %d: %s is %s (%d), not %s (%d)", seed, it.Path, it.Value, it.Stamp, w.Value, w.Stamp)
+			if w := want[it.Path]; w.Revision != it.Revision || string(w.Value) != string(it.Value) || i > 0 && got.Items[i-1].Path >= it.Path {
+				t.Fatalf("seed %d: %s is %s (%d), not %s (%d)", seed, it.Path, it.Value, it.Revision, w.Value, w.Revision)
 			}
 		}
 	}
@@ -203,7 +203,7 @@
 	open := func(team string, kind, tasks int) json.RawMessage {
 		return json.RawMessage(fmt.Sprintf(`{"v":2,"at":1,"k":%d,"c":10,"s":{"t":%q,"k":%d,"cp":4,"any":true}}`, tasks, team, kind))
 	}
-	s := &Snapshot{Epoch: 50}
+	s := &Snapshot{Revision: 50}
 	for k, v := range map[string]string{
 		"b/j/j-1": string(open("red", 0, 4)), "b/t/j-1/0": `{"v":2,"t":"1@vm-1 1@vm-2 d 3"}`,
 		"b/j/j-2": `{"v":99}`,
@@ -218,7 +218,7 @@
 	}
 	s.Items = append(s.Items, Item{"b/zz", json.RawMessage("1"), 51})
 	s.sort()
-	fs, n := Verify(s, []settings.Team{{Name: "red", CPUsMax: 10}})
+	fs, n := Verify(s, []settings.Team{{Name: "red", MaxCPUs: 10}})
 	text := ""
 	for _, f := range fs {
 		text += f.Key + " " + f.Rule + " " + f.Text + "\n"
@@ -241,7 +241,7 @@
 	a := restoreBase(s)
 	s.Items = append([]Item{{leader.BaseKey, mustRaw(a), 8}}, s.Items...)
 	b := restoreBase(s)
-	if a.Token <= s.Epoch || b.Token <= a.Token+s.Epoch || b.Attempts <= a.Attempts || a.Settled {
+	if a.Token <= s.Revision || b.Token <= a.Token+s.Revision || b.Attempts <= a.Attempts || a.Settled {
 		t.Errorf("%+v, then %+v", a, b)
 	}
 }
--- a/internal/snapshot/verify.go
+++ b/internal/snapshot/verify.go
@@ -73,8 +73,8 @@
 		it := &s.Items[i]
 		v.counts.Keys++
 		v.counts.Bytes += len(it.Path) + len(it.Value)
-		if it.Stamp > s.Epoch {
-			v.addFinding(it.Path, "record", "its revision %d is later than the state's, %d", it.Stamp, s.Epoch)
+		if it.Revision > s.Revision {
+			v.addFinding(it.Path, "record", "its revision %d is later than the state's, %d", it.Revision, s.Revision)
 		}
 		v.readRecord(it)
 	}
@@ -85,7 +85,7 @@
 	}
 	for name, u := range v.teamUse {
 		if t := (&ledger.Team{Team: v.teams[name], Used: u}); v.teams != nil && !t.WithinLimit(model.Resources{}) {
-			v.addFinding(ledger.JobPrefix, "quota", "team %q has tasks of %g CPUs and %g GPUs placed, its limits are %g and %g", name, u.CPUs, u.GPUs, t.CPUsMax, t.GPUsMax)
+			v.addFinding(ledger.JobPrefix, "quota", "team %q has tasks of %g CPUs and %g GPUs placed, its limits are %g and %g", name, u.CPUs, u.GPUs, t.MaxCPUs, t.MaxGPUs)
 		}
 	}
 	for name, n := range v.unitsUsed {
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -30,7 +30,7 @@
 
 // Commit sends a transaction. own says that it is the leader's own work, which may use
 // the reserve. Applied changes are in the replica before done is called.
-func (s *Store) Commit(t wire.Txn, own bool, done func(r Result, epoch uint64, failed []string)) {
+func (s *Store) Commit(t wire.Txn, own bool, done func(r Result, revision uint64, failed []string)) {
 	keepRequests, keepWrites := 0.0, 0.0
 	if !own {
 		keepRequests = s.reserve()
@@ -61,17 +61,17 @@
 			done(Unknown, 0, nil)
 		case a.Status == 503 || a.Status == 429:
 			done(Refused, 0, nil)
-		case a.Status == 200 && err == nil && o.Epoch > 0:
+		case a.Status == 200 && err == nil && o.Revision > 0:
 			for _, c := range t.Apply {
 				if c.Delete != "" {
-					s.drop(c.Delete, o.Epoch)
+					s.drop(c.Delete, o.Revision)
 				} else {
-					s.put(c.Write, c.Value, o.Epoch)
+					s.put(c.Write, c.Value, o.Revision)
 				}
 			}
-			done(OK, o.Epoch, nil)
+			done(OK, o.Revision, nil)
 		case a.Status == 409 && err == nil:
-			done(Conflict, o.Epoch, o.Failed)
+			done(Conflict, o.Revision, o.Failed)
 		case a.Status == 400 && strings.Contains(string(a.Body), "lease"):
 			done(NoLease, 0, nil)
 		case a.Status == 400:
@@ -84,8 +84,8 @@
 	})
 }
 
-// Grant requests a lease. permit is its ID.
-func (s *Store) Grant(ttl time.Duration, done func(permit uint64, ok bool)) {
+// Grant requests a lease. leaseID is its ID.
+func (s *Store) Grant(ttl time.Duration, done func(leaseID uint64, ok bool)) {
 	if !s.requests.Take(s.env.Now(), 1, 0) {
 		s.env.After(0, func() { done(0, false) })
 		return
@@ -101,26 +101,26 @@
 }
 
 // Renew renews a lease. gone says that the lease has ended.
-func (s *Store) Renew(permit uint64, done func(ok, gone bool)) {
+func (s *Store) Renew(leaseID uint64, done func(ok, gone bool)) {
 	if !s.requests.Take(s.env.Now(), 1, 0) {
 		s.env.After(0, func() { done(false, false) })
 		return
 	}
-	s.call("POST", wire.PathGrants+"/"+strconv.FormatUint(permit, 10)+"/renew", nil, renewTimeout, func(a actor.Answer) {
+	s.call("POST", wire.PathGrants+"/"+strconv.FormatUint(leaseID, 10)+"/renew", nil, renewTimeout, func(a actor.Answer) {
 		done(a.Err == nil && a.Status == 200, a.Err == nil && a.Status == 404)
 	})
 }
 
 // Release ends a lease if the request budget allows it.
-func (s *Store) Release(permit uint64) { s.End(permit, func(bool) {}) }
+func (s *Store) Release(leaseID uint64) { s.End(leaseID, func(bool) {}) }
 
 // End ends a lease. ok says that the state service confirmed its end.
-func (s *Store) End(permit uint64, done func(ok bool)) {
+func (s *Store) End(leaseID uint64, done func(ok bool)) {
 	if !s.requests.Take(s.env.Now(), 1, 0) {
 		s.env.After(0, func() { done(false) })
 		return
 	}
-	s.call("DELETE", wire.PathGrants+"/"+strconv.FormatUint(permit, 10), nil, readTimeout, func(a actor.Answer) {
+	s.call("DELETE", wire.PathGrants+"/"+strconv.FormatUint(leaseID, 10), nil, readTimeout, func(a actor.Answer) {
 		done(a.Err == nil && (a.Status == 200 || a.Status == 404))
 	})
 }
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -53,7 +53,7 @@
 		listed[r.key] = true
 		c := wire.Cond{Path: r.key}
 		if r.item != nil {
-			c.Stamp = r.item.Stamp
+			c.Revision = r.item.Revision
 		}
 		t.When = append(t.When, c)
 	}
@@ -112,8 +112,8 @@
 				done(nil, false)
 				return
 			}
-			s.put(key, it.Value, it.Stamp)
-			done(&Item{it.Value, it.Stamp}, true)
+			s.put(key, it.Value, it.Revision)
+			done(&Item{it.Value, it.Revision}, true)
 		default:
 			done(nil, false)
 		}
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -32,10 +32,10 @@
 	Malformed // rejected as malformed, which is a fault of this program
 )
 
-// Item is the value of a key in the replica. Stamp is the revision that wrote it.
+// Item is the value of a key in the replica. Revision is the revision that wrote it.
 type Item struct {
-	Value []byte
-	Stamp uint64
+	Value    []byte
+	Revision uint64
 }
 
 // Config holds the address and the limits of the state service. Nodes is the number of
@@ -67,7 +67,7 @@
 
 	items      map[string]Item
 	tombstones map[string]uint64 // revisions of deletions that the watch has not reached yet
-	epoch      uint64            // the replica is complete up to this revision
+	revision   uint64            // the replica is complete up to this revision
 	synced     bool
 	generation int
 	subs       []func(key string, it *Item)
@@ -87,8 +87,8 @@
 }
 
 type wait struct {
-	epoch uint64
-	f     func()
+	revision uint64
+	f        func()
 }
 
 type read struct {
@@ -168,8 +168,8 @@
 // Synced reports whether the replica has been read completely once.
 func (s *Store) Synced() bool { return s.synced }
 
-// Epoch returns the revision up to which the replica is complete.
-func (s *Store) Epoch() uint64 { return s.epoch }
+// Revision returns the revision up to which the replica is complete.
+func (s *Store) Revision() uint64 { return s.revision }
 
 // LastContact returns the time of the last definite answer of the state service.
 func (s *Store) LastContact() time.Duration { return s.lastContact }
@@ -206,12 +206,12 @@
 }
 
 // WhenCaughtUp calls f once the replica is complete up to the revision.
-func (s *Store) WhenCaughtUp(epoch uint64, f func()) {
-	if s.synced && s.epoch >= epoch {
+func (s *Store) WhenCaughtUp(revision uint64, f func()) {
+	if s.synced && s.revision >= revision {
 		f()
 		return
 	}
-	s.waits = append(s.waits, wait{epoch, f})
+	s.waits = append(s.waits, wait{revision, f})
 }
 
 // WriteRoom returns how many changes the write budget allows now, at most WriteBurst.
@@ -248,7 +248,7 @@
 	s.generation++
 	generation := s.generation
 	fetched := map[string]Item{}
-	var firstEpoch uint64
+	var firstRevision uint64
 	var page func(after string)
 	retry := func(after string) {
 		s.env.After(300*time.Millisecond, func() {
@@ -276,17 +276,17 @@
 				return
 			}
 			if after == "" {
-				firstEpoch = p.Epoch
+				firstRevision = p.Revision
 			}
 			for _, it := range p.Items {
-				fetched[it.Path] = Item{append([]byte(nil), it.Value...), it.Stamp}
+				fetched[it.Path] = Item{append([]byte(nil), it.Value...), it.Revision}
 			}
 			if p.HasNext {
 				page(p.Items[len(p.Items)-1].Path)
 				return
 			}
 			resynced := s.synced
-			s.items, s.epoch, s.synced = fetched, firstEpoch, true
+			s.items, s.revision, s.synced = fetched, firstRevision, true
 			s.tombstones = map[string]uint64{}
 			if resynced {
 				for _, f := range s.resync {
@@ -309,7 +309,7 @@
 	waiting := s.waits
 	s.waits = nil
 	for _, w := range waiting {
-		if s.epoch >= w.epoch {
+		if s.revision >= w.revision {
 			w.f()
 		} else {
 			pending = append(pending, w)
@@ -327,7 +327,7 @@
 		retry(50 * time.Millisecond)
 		return
 	}
-	path := wire.PathChanges + "?under=" + Prefix + "&from=" + strconv.FormatUint(s.epoch, 10) +
+	path := wire.PathChanges + "?under=" + Prefix + "&from=" + strconv.FormatUint(s.revision, 10) +
 		"&block_ms=" + strconv.Itoa(int(watchBlock.Milliseconds()))
 	sent := s.env.Now()
 	// A watch that stays open past its time hangs because of a partition or an outage. A
@@ -341,7 +341,7 @@
 			return
 		}
 		if a.Status == http.StatusGone {
-			s.env.Log().Info("watch revision too old, reading all keys again", "epoch", s.epoch)
+			s.env.Log().Info("watch revision too old, reading all keys again", "epoch", s.revision)
 			s.Start()
 			return
 		}
@@ -351,19 +351,19 @@
 			retry(time.Second)
 			return
 		}
-		sort.SliceStable(n.Events, func(i, j int) bool { return n.Events[i].Stamp < n.Events[j].Stamp })
+		sort.SliceStable(n.Events, func(i, j int) bool { return n.Events[i].Revision < n.Events[j].Revision })
 		for i := range n.Events {
 			e := &n.Events[i]
 			if e.Delete != "" {
-				s.drop(e.Delete, e.Stamp)
+				s.drop(e.Delete, e.Revision)
 			} else if e.Write != "" {
-				s.put(e.Write, e.Value, e.Stamp)
+				s.put(e.Write, e.Value, e.Revision)
 			}
 		}
-		if n.Epoch > s.epoch {
-			s.epoch = n.Epoch
+		if n.Revision > s.revision {
+			s.revision = n.Revision
 			for k, e := range s.tombstones {
-				if e <= s.epoch {
+				if e <= s.revision {
 					delete(s.tombstones, k)
 				}
 			}
@@ -381,14 +381,14 @@
 	})
 }
 
-func (s *Store) put(key string, value []byte, stamp uint64) {
-	if old, ok := s.items[key]; ok && old.Stamp >= stamp {
+func (s *Store) put(key string, value []byte, revision uint64) {
+	if old, ok := s.items[key]; ok && old.Revision >= revision {
 		return
 	}
-	if s.tombstones[key] >= stamp && stamp > 0 {
+	if s.tombstones[key] >= revision && revision > 0 {
 		return
 	}
-	it := Item{append([]byte(nil), value...), stamp}
+	it := Item{append([]byte(nil), value...), revision}
 	s.items[key] = it
 	for _, f := range s.subs {
 		f(key, &it)
@@ -396,18 +396,18 @@
 }
 
 // Learn adds a record to the replica that another node has read from the state service.
-func (s *Store) Learn(key string, value []byte, stamp uint64) {
+func (s *Store) Learn(key string, value []byte, revision uint64) {
 	if s.synced {
-		s.put(key, value, stamp)
+		s.put(key, value, revision)
 	}
 }
 
-func (s *Store) drop(key string, stamp uint64) {
-	if stamp > s.epoch {
-		s.tombstones[key] = max(s.tombstones[key], stamp)
+func (s *Store) drop(key string, revision uint64) {
+	if revision > s.revision {
+		s.tombstones[key] = max(s.tombstones[key], revision)
 	}
 	old, ok := s.items[key]
-	if !ok || old.Stamp > stamp {
+	if !ok || old.Revision > revision {
 		return
 	}
 	delete(s.items, key)
--- a/internal/units/actor.go
+++ b/internal/units/actor.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		a.env.Log().Error("resource record can't be read, left unchanged; no units of the resource are given out", "key", key, "err", err)
 	}
-	a.inventory.Set(name, rec, it.Stamp)
+	a.inventory.Set(name, rec, it.Revision)
 	if r := a.inventory.Get(name); rec != nil && r.Record == rec {
 		a.env.Log().Info("resource", "name", name, "count", rec.Count, "removed", rec.Removed, "external", rec.External, "used", r.Used, "by", rec.By)
 		if p := a.probes[name]; p != nil {
@@ -171,7 +171,7 @@
 	case r.Record.DeclaredCount != d.Count:
 		c := *r.Record
 		c.Count, c.DeclaredCount, c.Removed, c.By = d.Count, d.Count, false, "properties file"
-		a.write(d.Name, &c, r.Stamp)
+		a.write(d.Name, &c, r.Revision)
 	}
 }
 
@@ -184,16 +184,16 @@
 	p.lastWrite = a.env.Now()
 	c := *r.Record
 	c.External, c.By = p.used, "probe"
-	a.write(p.Name, &c, r.Stamp)
+	a.write(p.Name, &c, r.Revision)
 }
 
 // write commits a record if this node still leads and the record hasn't changed.
-func (a *Actor) write(name string, rec *Record, stamp uint64) {
+func (a *Actor) write(name string, rec *Record, revision uint64) {
 	if a.store.WriteRoom() < 4 {
 		return
 	}
 	rec.AtMS, rec.Nonce = a.env.Wall().UnixMilli(), fmt.Sprintf("%x", a.env.Rand().Uint64())
-	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Stamp: a.token}, {Path: Key(name), Stamp: stamp}},
+	t := wire.Txn{When: []wire.Cond{{Path: leader.Key, Revision: a.token}, {Path: Key(name), Revision: revision}},
 		Apply: []wire.Change{{Write: Key(name), Value: rec.Encode()}}}
 	a.writing = true
 	a.store.Commit(t, true, func(r statestore.Result, _ uint64, failed []string) {
--- a/internal/units/handler.go
+++ b/internal/units/handler.go
@@ -99,7 +99,7 @@
 	return true
 }
 
-func (h *Handler) read(name string, reply func(httpx.Response), then func(rec *Record, stamp uint64)) {
+func (h *Handler) read(name string, reply func(httpx.Response), then func(rec *Record, revision uint64)) {
 	h.store.Read(Key(name), func(it *statestore.Item, ok bool) {
 		switch {
 		case !ok:
@@ -112,7 +112,7 @@
 				reply(answer.Refuse(503, 5, "the record of resource %s can't be read", name))
 				return
 			}
-			then(rec, it.Stamp)
+			then(rec, it.Revision)
 		}
 	})
 }
@@ -157,7 +157,7 @@
 // change applies f to the current record and writes the result, unless another write
 // has changed the record.
 func (h *Handler) change(name string, f func(rec *Record) error, tries int, reply func(httpx.Response)) {
-	h.read(name, reply, func(rec *Record, stamp uint64) {
+	h.read(name, reply, func(rec *Record, revision uint64) {
 		if rec == nil {
 			rec = &Record{}
 			n := 0
@@ -177,7 +177,7 @@
 			return
 		}
 		c.AtMS, c.Nonce = h.env.Wall().UnixMilli(), fmt.Sprintf("%x", h.env.Rand().Uint64())
-		t := wire.Txn{When: []wire.Cond{{Path: Key(name), Stamp: stamp}}, Apply: []wire.Change{{Write: Key(name), Value: c.Encode()}}}
+		t := wire.Txn{When: []wire.Cond{{Path: Key(name), Revision: revision}}, Apply: []wire.Change{{Write: Key(name), Value: c.Encode()}}}
 		if len(t.Apply[0].Value) > h.store.Config().ValueBytes {
 			reply(answer.Refuse(400, 0, "too much for one resource: leave teams out"))
 			return
@@ -202,9 +202,9 @@
 	v := wire.UnitsView{Name: name, Count: rec.Count, Removed: rec.Removed, External: rec.External, By: rec.By, AtMS: rec.AtMS}
 	for t, p := range rec.Teams {
 		if v.Teams == nil {
-			v.Teams = map[string]wire.Part{}
+			v.Teams = map[string]wire.TeamLimits{}
 		}
-		v.Teams[t] = wire.Part(p)
+		v.Teams[t] = wire.TeamLimits(p)
 	}
 	for p, n := range rec.Reserve {
 		if n > 0 {
--- a/internal/units/inventory.go
+++ b/internal/units/inventory.go
@@ -17,7 +17,7 @@
 type Resource struct {
 	Name       string
 	Record     *Record // nil: never declared
-	Stamp      uint64
+	Revision   uint64
 	Unreadable bool // the record can't be decoded
 	// External is how many units are in use outside the cluster now.
 	External   int
@@ -64,12 +64,12 @@
 
 // Set stores a resource's record unless a newer one is stored; a nil record is one that
 // can't be decoded.
-func (inv *Inventory) Set(name string, rec *Record, stamp uint64) {
+func (inv *Inventory) Set(name string, rec *Record, revision uint64) {
 	r := inv.All[inv.Index(name)]
-	if stamp < r.Stamp {
+	if revision < r.Revision {
 		return
 	}
-	r.Stamp, r.Unreadable = stamp, rec == nil
+	r.Revision, r.Unreadable = revision, rec == nil
 	if rec != nil {
 		r.Record, r.External = rec, rec.External
 	}
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -47,7 +47,7 @@
 		p, err := DecodePage(b)
 		oneLine(t, err)
 		for _, it := range p.Items {
-			if err == nil && (it.Path == "" || it.Stamp == 0) {
+			if err == nil && (it.Path == "" || it.Revision == 0) {
 				t.Errorf("accepted %+v", it)
 			}
 		}
--- a/internal/wire/overview.go
+++ b/internal/wire/overview.go
@@ -27,21 +27,22 @@
 	Refused  int     `json:"refused"` // submissions refused since the process started
 	// Only the leader sets the following fields. AdmitFraction is the factor, at most 1, to
 	// which it reduces admission while its writes are behind. WriteBacklogS is how many seconds
-	// its pending writes take. ClosedClasses lists the classes whose submissions are refused.
-	AdmitFraction float64  `json:"ease,omitempty"`
-	WriteBacklogS float64  `json:"behind_s"`
-	ClosedClasses []string `json:"shut,omitempty"`
+	// its pending writes take. BlockedClasses lists the classes whose submissions are refused.
+	AdmitFraction  float64  `json:"ease,omitempty"`
+	WriteBacklogS  float64  `json:"behind_s"`
+	BlockedClasses []string `json:"shut,omitempty"`
 }
 
-// ClassView counts the unfinished jobs and the tasks of a class of a team. Floor counts the
-// jobs within the minimum share of the class, which the settings call its floor.
+// ClassView counts the unfinished jobs and the tasks of a class of a team.
+// WithinMinShare counts the jobs within the minimum share of the class, called its floor in
+// messages and settings.
 type ClassView struct {
-	Class   string `json:"class"`
-	Team    string `json:"team"`
-	Jobs    int    `json:"jobs"`
-	Floor   int    `json:"floor"`
-	Waiting int    `json:"waiting_tasks"`
-	Placed  int    `json:"placed_tasks"`
+	Class          string `json:"class"`
+	Team           string `json:"team"`
+	Jobs           int    `json:"jobs"`
+	WithinMinShare int    `json:"floor"`
+	Waiting        int    `json:"waiting_tasks"`
+	Placed         int    `json:"placed_tasks"`
 }
 
 // MachinesView counts machines. Running, Fetching, Waiting and Saving add up the fractions of
--- a/internal/wire/units.go
+++ b/internal/wire/units.go
@@ -72,15 +72,15 @@
 type UnitsUpdate struct {
 	Count    *int
 	External *int
-	Teams    map[string]Part
+	Teams    map[string]TeamLimits
 	Reserve  map[string]int // keyed by priority: low, normal, high, production
 	Shed     bool           // stop tasks until usage is within the count
 	By       string
 }
 
-// Part is a team's limit of units of a resource, and the number of units below which the
+// TeamLimits is a team's limit of units of a resource, and the number of units below which the
 // team's jobs go first.
-type Part struct {
+type TeamLimits struct {
 	Most  int `json:"most,omitempty"`
 	Share int `json:"share,omitempty"`
 }
@@ -92,12 +92,12 @@
 		return nil, errors.New("not a JSON object")
 	}
 	var x struct {
-		Count    *float64           `json:"count"`
-		External *float64           `json:"external"`
-		Teams    map[string]Part    `json:"teams"`
-		Reserve  map[string]float64 `json:"reserve"`
-		Shed     bool               `json:"shed"`
-		By       string             `json:"by"`
+		Count    *float64              `json:"count"`
+		External *float64              `json:"external"`
+		Teams    map[string]TeamLimits `json:"teams"`
+		Reserve  map[string]float64    `json:"reserve"`
+		Shed     bool                  `json:"shed"`
+		By       string                `json:"by"`
 	}
 	if err := json.Unmarshal(b, &x); err != nil {
 		return nil, fmt.Errorf("malformed: %s", clip(err.Error()))
@@ -132,15 +132,15 @@
 
 // UnitsView is the state of a resource.
 type UnitsView struct {
-	Name     string          `json:"name"`
-	Count    int             `json:"count"`
-	Removed  bool            `json:"removed,omitempty"`
-	External int             `json:"external,omitempty"`
-	Teams    map[string]Part `json:"teams,omitempty"`
-	Reserve  map[string]int  `json:"reserve,omitempty"`
-	By       string          `json:"by,omitempty"`
-	AtMS     int64           `json:"at_ms,omitempty"`
-	Trouble  string          `json:"trouble,omitempty"`
+	Name     string                `json:"name"`
+	Count    int                   `json:"count"`
+	Removed  bool                  `json:"removed,omitempty"`
+	External int                   `json:"external,omitempty"`
+	Teams    map[string]TeamLimits `json:"teams,omitempty"`
+	Reserve  map[string]int        `json:"reserve,omitempty"`
+	By       string                `json:"by,omitempty"`
+	AtMS     int64                 `json:"at_ms,omitempty"`
+	Trouble  string                `json:"trouble,omitempty"`
 	// Live is the current usage. Only the leader knows it.
 	Live *UnitsLive `json:"live,omitempty"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -81,7 +81,7 @@
 			t.Errorf("types %q: %+v", b, ts)
 		}
 	}
-	if o, err := DecodeOutcome([]byte(`{"epoch":0}`), false); err != nil || o.Epoch != 0 {
+	if o, err := DecodeOutcome([]byte(`{"epoch":0}`), false); err != nil || o.Revision != 0 {
 		t.Errorf("answer of an empty store: %+v %v", o, err)
 	}
 	if p, err := DecodePage([]byte(`{"items":[],"has_next":false,"epoch":0}`)); err != nil || p.HasNext {
--- a/internal/workers/exits.go
+++ b/internal/workers/exits.go
@@ -115,7 +115,7 @@
 // maxReportGap is the longest gap between two reports after which the start or end time
 // of a task is precise enough to measure its run time. After a network partition tasks
 // would look slower than they are.
-func (a *Actor) maxReportGap() time.Duration { return 2 * a.cfg.Report }
+func (a *Actor) maxReportGap() time.Duration { return 2 * a.cfg.ReportInterval }
 
 // retireSlowMachine has a machine returned on which tasks take much longer than tasks of
 // the same jobs on other machines. Tasks that can save their progress move at once.
--- a/internal/workers/leases.go
+++ b/internal/workers/leases.go
@@ -106,7 +106,7 @@
 	}
 	now := a.env.Now()
 	for _, p := range m.Placements {
-		if !p.Stopping || p.SeenInReport || now-m.LastReport >= 2*a.cfg.Report || !a.startMayArrive(m, p) {
+		if !p.Stopping || p.SeenInReport || now-m.LastReport >= 2*a.cfg.ReportInterval || !a.startMayArrive(m, p) {
 			continue
 		}
 		if now-p.StopSince > stuckTimeout || p.StartDeadline > 0 && now > p.StartDeadline {
--- a/internal/workers/leases_test.go
+++ b/internal/workers/leases_test.go
@@ -18,9 +18,9 @@
 	e := &env{now: time.Minute}
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 10, WriteRPS: 10, Nodes: 1, TxnOps: 8}), 7, []settings.Team{{Name: "t"}})
 	l.Types["g"] = &model.MachineType{Name: "g", Cap: model.Resources{CPUs: 8}}
-	a := New(e, l, 7, Config{Lease: 30 * time.Second, Hold: 20 * time.Second, Report: 3 * time.Second})
+	a := New(e, l, 7, Config{Lease: 30 * time.Second, Hold: 20 * time.Second, ReportInterval: 3 * time.Second})
 	rec := ledger.NewRecord(&model.Spec{ID: "j-1", Team: "t", Kind: kind, Tasks: 1, Resources: model.Resources{CPUs: 1}, Image: "i"}, 0, "", 48)
-	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Stamp: 1})
+	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Revision: 1})
 	p := l.Plan(l.Jobs["j-1"], 0, 1, l.Machine("m"))
 	p.Durable, p.Inherited = true, true
 	return e, a, p
@@ -166,7 +166,7 @@
 		e.now += late // from the last proof until the leader learns of the cancellation
 		rec := *p.Job.Record
 		rec.Final = ledger.Cancelled
-		a.led.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Stamp: 2})
+		a.led.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Revision: 2})
 		for i := uint64(2); i < 40 && stuck == 0; i++ {
 			e.now += time.Second
 			a.Report(newReport(7, i))
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -127,7 +127,7 @@
 // call sends a request to the worker by the path on which its reports arrive.
 func (a *Actor) call(m *ledger.Machine, c actor.Call) {
 	if a.Send != nil {
-		a.Send(m.RelayedBy, c)
+		a.Send(m.ForwardedBy, c)
 		return
 	}
 	a.env.Call(c)
@@ -135,7 +135,7 @@
 
 func (a *Actor) push(m *ledger.Machine) {
 	now := a.env.Now()
-	if m.Addr == "" || !m.Reported || now-m.LastReport > 3*a.cfg.Report {
+	if m.Addr == "" || !m.Reported || now-m.LastReport > 3*a.cfg.ReportInterval {
 		return // the answer to its next report has the orders
 	}
 	for k, at := range m.ConfirmedStarts {
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -15,8 +15,8 @@
 // leader still answers workers after its last proof of leading (Hold), and between two reports
 // of a worker.
 type Config struct {
-	Lease, Hold time.Duration
-	Report      time.Duration
+	Lease, Hold    time.Duration
+	ReportInterval time.Duration
 }
 
 // Actor handles the workers during one term.
@@ -40,7 +40,7 @@
 	// StartsPaused reports whether no task may be started now, even if its placement is
 	// recorded.
 	StartsPaused func() bool
-	// Send sends a call to a worker through the controller that passes on its reports; nil:
+	// Send sends a call to a worker through the controller that forwards its reports; nil:
 	// always directly.
 	Send func(via string, c actor.Call)
 	// OnServiceExit is called for a service's task that ended by itself.
@@ -49,7 +49,7 @@
 
 const (
 	directTimeout = 2500 * time.Millisecond
-	// clockDrift prolongs a lease, since steady clocks drift apart by at most 0.05%.
+	// clockDrift prolongs a lease, since monotonic clocks drift apart by at most 0.05%.
 	clockDrift = 1.001
 )
 
@@ -82,7 +82,7 @@
 // Report processes a report and returns the orders for its answer.
 func (a *Actor) Report(r *model.Report) []model.Order { return a.ReportVia("", r) }
 
-// ReportVia is Report for a report that another controller passed on. Orders are sent
+// ReportVia is Report for a report that another controller forwarded. Orders are sent
 // through that controller, too, until a report arrives by another path.
 func (a *Actor) ReportVia(via string, r *model.Report) []model.Order {
 	if a.led.Returned[r.Machine] {
@@ -100,7 +100,7 @@
 		return nil
 	}
 	m.LastAnswered = now
-	m.RelayedBy = via
+	m.ForwardedBy = via
 	if a.hasStuckStart(m) && a.OnStuckStart != nil {
 		// Its lease must not be renewed under this token.
 		a.OnStuckStart()
@@ -258,7 +258,7 @@
 	m.UnexpectedTasks = append(m.UnexpectedTasks, t)
 	if j != nil && t.Task < len(j.Tasks) {
 		// The task must not be started elsewhere while this worker still reports it.
-		j.Tasks[t.Task].NotBefore = max(j.Tasks[t.Task].NotBefore, a.env.Now()+2*a.cfg.Report)
+		j.Tasks[t.Task].NotBefore = max(j.Tasks[t.Task].NotBefore, a.env.Now()+2*a.cfg.ReportInterval)
 	}
 }
 
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -46,11 +46,11 @@
 	e := &env{now: time.Minute}
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 10, WriteRPS: 10, Nodes: 1, TxnOps: 8}), 7, []settings.Team{{Name: "t"}})
 	l.Types["g"] = &model.MachineType{Name: "g", Cap: model.Resources{CPUs: 8}}
-	a := New(e, l, 7, Config{Lease: 30 * time.Second, Hold: 20 * time.Second, Report: 3 * time.Second})
+	a := New(e, l, 7, Config{Lease: 30 * time.Second, Hold: 20 * time.Second, ReportInterval: 3 * time.Second})
 	tokenRequests := 0
 	a.OnStuckStart = func() { tokenRequests++ }
 	rec := ledger.NewRecord(&model.Spec{ID: "j-1", Team: "t", Tasks: 1, Resources: model.Resources{CPUs: 1}, Image: "i"}, 0, "", 48)
-	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Stamp: 1})
+	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Revision: 1})
 	seq := uint64(0)
 	report := func() []model.Order {
 		seq++
@@ -103,9 +103,9 @@
 	e.answer = func(actor.Call) actor.Answer { return actor.Answer{Status: 200} }
 	l := ledger.New(e, statestore.New(e, statestore.Config{RPS: 10, WriteRPS: 10, Nodes: 1, TxnOps: 8}), 7, []settings.Team{{Name: "t"}})
 	l.Types["g"] = &model.MachineType{Name: "g", Cap: model.Resources{CPUs: float64(tasks)}}
-	a := New(e, l, 7, Config{Lease: 30 * time.Second, Hold: 20 * time.Second, Report: 3 * time.Second})
+	a := New(e, l, 7, Config{Lease: 30 * time.Second, Hold: 20 * time.Second, ReportInterval: 3 * time.Second})
 	rec := ledger.NewRecord(&model.Spec{ID: "j-1", Team: "t", Tasks: tasks, Resources: model.Resources{CPUs: 1}, Image: "i"}, 0, "", 48)
-	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Stamp: 1})
+	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Revision: 1})
 	seq := uint64(0)
 	count := func(tasks ...model.TaskReport) (starts, forgets int) {
 		seq++
@@ -140,7 +140,7 @@
 	if n, _ := count(); n != tasks {
 		t.Errorf("%d starts in the answer to a report, want all %d", n, tasks)
 	}
-	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Stamp: 2})
+	l.ApplyJobRecord(ledger.JobKey("j-1"), &statestore.Item{Value: rec.Encode(), Revision: 2})
 	if _, n := count(done...); n > 0 {
 		t.Errorf("%d attempts forgotten while duplicates of their starts may arrive", n)
 	}
