--- a/internal/consolidate/consolidate.go
+++ b/internal/consolidate/consolidate.go
@@ -1,6 +1,6 @@
-// Package consolidate implements iterative partitioned consolidation, the paper's IPC
-// (§4.1, Algorithm 1): it plans moves of running tasks that empty whole machines for
-// requests that no single machine has room for.
+// Package consolidate implements iterative partitioned consolidation, IPC, of the paper
+// "Heterogeneity at Hyperscale" (§4.1, Algorithm 1): it plans moves of running tasks that
+// empty whole machines for requests that no single machine has room for.
 package consolidate
 
 import (
