--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -139,7 +139,7 @@
 		return // the state is incomplete during a restore
 	}
 	if _, ok := ReadBase(a.store); !ok {
-		a.env.Log().Error("the base of a restored cluster can't be read, no leader can be elected", "key", BaseKey)
+		a.env.Log().Error("the base of a restored cluster can't be read, no node can become leader", "key", BaseKey)
 		return
 	}
 	if a.claiming || a.token != 0 || a.keyRecord.Node != "" || !a.store.Synced() || a.env.Now() < a.abstainUntil {
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -113,7 +113,7 @@
 	}
 	st, why, err := decodeChunk(key, it.Value)
 	if err != nil {
-		l.env.Log().Error("chunk can't be read, left unchanged; its job is not scheduled", "key", key, "err", err)
+		l.env.Log().Error("chunk can't be read, its job is not scheduled", "key", key, "err", err)
 		j.WaitReason = "its record can't be read"
 		j.unreadable = true
 		return
--- a/internal/ledger/machine.go
+++ b/internal/ledger/machine.go
@@ -110,7 +110,7 @@
 	Booting            bool          // rented in this term and has not reported yet
 	IdleSince          time.Duration
 	WantedAt           time.Duration // last time waiting work was expected to use it
-	NoPlacementBefore  time.Duration
+	NoPlacementBefore  time.Duration // the machine gets no new placements before this time
 	failedJobs         map[*Job]bool
 	UnconfirmedStarts  map[model.TaskAttempt]uint64 // direct starts without an answer, which may still arrive, with their session
 	// ConfirmedStarts has the direct starts of this session that the worker answered, with the
--- a/internal/node/restored.go
+++ b/internal/node/restored.go
@@ -44,7 +44,7 @@
 		}
 		if r == statestore.OK {
 			t.base.Settled = true
-			t.node.env.Log().Info("all leases from before the restore have expired, tasks may be started")
+			t.node.env.Log().Info("all leases from before the restore have expired, starts are allowed")
 		}
 		t.schedulePass()
 	})
--- a/internal/node/units.go
+++ b/internal/node/units.go
@@ -69,7 +69,7 @@
 			return
 		}
 		over -= r.Holders[p]
-		t.node.env.Log().Info("stopping a task that exceeds a resource's count", "resource", r.Name, "job", p.Job.Spec.ID, "task", p.Task, "machine", p.Host.Name)
+		t.node.env.Log().Info("stopping a placement that exceeds a resource's count", "resource", r.Name, "job", p.Job.Spec.ID, "task", p.Task, "machine", p.Host.Name)
 		t.ledger.Stop(p, p.Grace(), "resource "+r.Name+" has fewer units now")
 	}
 }
--- a/internal/rollout/handler.go
+++ b/internal/rollout/handler.go
@@ -180,7 +180,7 @@
 			}
 			p, err := decodePast(HistoryKey(name, n), it.Value)
 			if err != nil {
-				h.env.Log().Error("record of an ended roll-out can't be read, left unchanged", "err", err)
+				h.env.Log().Error("history record of a service can't be read, left unchanged", "err", err)
 				out.Rollouts = append(out.Rollouts, wire.RolloutView{ID: fmt.Sprintf("%s/%d", name, n), Why: "its record can't be read"})
 				continue
 			}
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -78,7 +78,7 @@
 			s.env.Log().Error("state service rejected a transaction as malformed", "body", string(a.Body))
 			done(Malformed, 0, nil)
 		default:
-			s.env.Log().Error("invalid response from the state service to a transaction", "status", a.Status, "err", err)
+			s.env.Log().Error("invalid response to a transaction", "status", a.Status, "err", err)
 			done(Unknown, 0, nil)
 		}
 	})
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -347,7 +347,7 @@
 		}
 		n, err := wire.DecodeWatchResponse(a.Body)
 		if a.Status != 200 || err != nil {
-			s.env.Log().Error("invalid response from the state service to a watch", "status", a.Status, "err", err)
+			s.env.Log().Error("invalid response to a watch", "status", a.Status, "err", err)
 			retry(time.Second)
 			return
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,7 +47,7 @@
 func Encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("wire: " + err.Error())
+		panic("wire: " + err.Error()) // v has a type that JSON can't represent: a programming error
 	}
 	return b
 }
--- a/internal/workers/exits.go
+++ b/internal/workers/exits.go
@@ -104,7 +104,7 @@
 		return
 	}
 	if m.FailedJobs() >= 2 {
-		a.env.Log().Info("returning machine, tasks of several jobs failed on it", "machine", m.Name, "jobs", m.FailedJobs())
+		a.env.Log().Info("draining machine, tasks of several jobs failed on it", "machine", m.Name, "jobs", m.FailedJobs())
 		m.NoPlacementBefore = a.env.Now() + time.Hour
 		m.Leaving = true
 	} else {
@@ -120,7 +120,7 @@
 // retireSlowMachine has a machine returned on which tasks take much longer than tasks of
 // the same jobs on other machines. Tasks that can save their progress move at once.
 func (a *Actor) retireSlowMachine(m *ledger.Machine) {
-	a.env.Log().Info("returning machine, its tasks take much longer than on other machines", "machine", m.Name, "factor", math.Round(100*m.Pace.Factor())/100)
+	a.env.Log().Info("draining machine, its tasks take much longer than on other machines", "machine", m.Name, "factor", math.Round(100*m.Pace.Factor())/100)
 	m.Leaving = true
 	a.drain(m, "machine is too slow")
 }
