--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -69,8 +69,8 @@
 }
 
 // Serve answers a user's request; it returns false for paths that other packages serve. A
-// request that can't be answered because the state service can't be reached is relayed once
-// to another node, unless another node has relayed it to this one.
+// request whose answer would be answer.Unavailable is relayed once to another node, unless
+// another node has relayed it to this one.
 func (a *Actor) Serve(r *httpx.Request, relayed bool, reply func(httpx.Response)) bool {
 	if relayed || a.Relay == nil || r.Path == wire.PathHealth {
 		return a.serve(r, reply)
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -15,6 +15,7 @@
 	return httpx.Response{Status: status, RetryAfter: retryAfter, Body: wire.Error(fmt.Sprintf(format, args...))}
 }
 
-// Unavailable is the response while the state service can't be reached. A node relays
-// requests that get it to a node that can reach the service, if it knows one.
+// Unavailable is the response while the state service can't be used: it doesn't answer or
+// refuses, this node's request budget for it is spent, or the replica isn't complete yet.
+// Package admission may relay such a request to a node that reaches the service.
 var Unavailable = Refuse(http.StatusServiceUnavailable, 1, "the state service can't be asked, come back")
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -76,7 +76,7 @@
 		return n.leaderLabel(), redirect
 	}
 	if own := n.reporters.Count(n.env.Now()); !n.reporters.Has(host) {
-		all := n.listReporters()
+		all := n.listReceivers()
 		if to := forward.ChooseReceiver(all, zone); forward.Overloaded(own, all) && to != "" && to != n.settings.Label {
 			return to, redirect
 		}
@@ -85,18 +85,18 @@
 	return "", forwardToLeader
 }
 
-// listReporters lists the controllers that take reports, this one first.
-func (n *Node) listReporters() []forward.Receiver {
-	all := []forward.Receiver{reporter(n.settings.Label, n.settings.Location, n.reporters.Count(n.env.Now()), n.term != nil)}
+// listReceivers lists the controllers that take reports, this one first.
+func (n *Node) listReceivers() []forward.Receiver {
+	all := []forward.Receiver{receiver(n.settings.Label, n.settings.Location, n.reporters.Count(n.env.Now()), n.term != nil)}
 	n.peers.ForEachRecent(func(p settings.Peer, s *peer.Status) {
 		if s.ForwardVersion >= forward.Version {
-			all = append(all, reporter(p.Label, p.Location, int(s.ReportingWorkers), s.Leading))
+			all = append(all, receiver(p.Label, p.Location, int(s.ReportingWorkers), s.Leading))
 		}
 	})
 	return all
 }
 
-func reporter(label, zone string, workers int, leads bool) forward.Receiver {
+func receiver(label, zone string, workers int, leads bool) forward.Receiver {
 	if leads {
 		workers *= leaderWeight
 	}
@@ -236,7 +236,7 @@
 		return ""
 	}
 	now := n.env.Now()
-	all := n.listReporters()
+	all := n.listReceivers()
 	for i := range all {
 		all[i].Workers += t.moved[all[i].Label]
 	}
--- a/internal/node/intake.go
+++ b/internal/node/intake.go
@@ -23,7 +23,8 @@
 	// is admitted, and only urgent starts are planned, or none if those are behind, too.
 	maxWriteBacklogS = 1.0
 	// Each second, admission is multiplied by admitDecrease while the leader's writes are
-	// behind, and otherwise rises by admitIncrease of the full rate.
+	// behind, and otherwise rises by admitIncrease of the full rate. The other nodes keep at
+	// least their base rate (intake.BaseRate).
 	admitDecrease, admitIncrease = 0.75, 0.1
 	// Submissions take at most this part of all writes, because each job causes more writes
 	// later.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,8 @@
 	peers      *peer.Actor
 	images     *images.Actor
 	term       *term
-	// hold is how long a leader may answer workers without a fresh proof that it leads.
+	// hold is how long a leader may answer workers after the time up to which it certainly
+	// knows all cancellations (mayAnswerWorkers).
 	hold time.Duration
 	// resumedAt is when this process last resumed after a pause. Until then, the silence of the
 	// state service was due to the pause.
@@ -161,8 +162,9 @@
 	f := &set.Facts
 	n := &Node{env: env, settings: set, options: opt, seekingLeader: map[string]time.Duration{}, resumedAt: -time.Hour, notForwardedLoggedAt: -notForwardedLogEvery, peerTimestamps: map[string]uint64{}}
 	// A leader that can't reach the state service keeps renewing workers' leases for the hold.
-	// After the hold and one more lease, a job cancelled through another node must be gone
-	// within cancel_s. The margin of 4 s covers clock drift and delays.
+	// The tasks of a job cancelled through another node end at the latest after the hold and
+	// one more lease, which must be within cancel_s. The margin of 4 s covers clock drift and
+	// delays.
 	n.hold = max(500*time.Millisecond, seconds(f.Workers.CancelS-f.Workers.LeaseS-4))
 	n.store = statestore.New(env, statestore.Config{Addr: set.External.State, RPS: f.State.RPS, WriteRPS: f.State.WriteRPS,
 		Nodes: f.Nodes, TxnOps: f.State.TxnOps, ValueBytes: int(f.State.ValueKB * 1024)})
