--- a/internal/images/images.go
+++ b/internal/images/images.go
@@ -101,7 +101,8 @@
 		if it == nil {
 			return
 		}
-		// Changes arrive in key order, so a chunk may come before its record.
+		// The record may be unreadable, or that of a completed job. It may also come later: if a
+		// job is accepted while the replica is read page by page, the pages may have only its chunk.
 		j = &job{}
 		a.jobs[id] = j
 	}
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -60,9 +60,9 @@
 	chunks         []chunk
 	DoneTasks      int
 	Placed         int
-	EverPlaced     int  // tasks that were placed at least once
-	Disbanding     bool // a gang that lost a task and waits until the others are gone
-	StopReason     string
+	EverPlaced     int    // tasks that were placed at least once
+	Disbanding     bool   // a gang that lost a task and waits until the others are gone
+	StopReason     string // why a task of the job last stopped
 	WaitReason     string // why the job can't be placed now
 	Started        bool   // a task was reported running in this attempt of the gang
 	// IncompleteSince is when a gang that has not begun to run lost a task of its attempt; 0 if
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -91,7 +91,7 @@
 }
 
 // SpotInterruptionRate returns the estimated rate per second at which the cloud takes a spot
-// machine back. It starts at once per machine hour.
+// machine back. Before any observation it is one per machine hour.
 func (l *Ledger) SpotInterruptionRate() float64 {
 	return (1 + l.SpotInterruptions) / (1 + l.SpotHours) / 3600
 }
@@ -142,8 +142,8 @@
 }
 
 // LearnRunTime adds the run time of a completed task to the estimates of its class, once per
-// gang, and for arrays to the pace of its machine. Only first attempts count. The run time of an
-// inherited task is unknown.
+// gang, and for arrays to the pace of its machine. Only first attempts count, since they ran from
+// the beginning. The run time of an inherited task is unknown.
 func (l *Ledger) LearnRunTime(p *Placement) {
 	j := p.Job
 	if p.Attempt != 1 || p.Inherited || p.RunSince <= 0 || j.class == nil {
--- a/internal/ledger/write.go
+++ b/internal/ledger/write.go
@@ -104,7 +104,7 @@
 	Starts       int // chunks with placements to start
 	Tasks        int // placements in those chunks
 	Ends         int // final records of completed jobs
-	StateUpdates int // chunks that record only done or idle tasks
+	StateUpdates int // other chunks, written because tasks are done or idle
 	Deletions    int // deletions of chunks
 }
 
@@ -158,8 +158,8 @@
 	return deferrableRank + 1, age >= stateUpdateGatherTime
 }
 
-// WriteBacklogS returns how many seconds the state service's write rate needs for the waiting
-// changes that exceed the current allowance. It counts the ends of jobs, and the chunks with
+// WriteBacklogS returns how many seconds this node needs at its write rate for the waiting
+// changes that exceed its current allowance. It counts the ends of jobs, and the chunks with
 // starts of the given priority or above.
 func (l *Ledger) WriteBacklogS(least model.Priority) float64 {
 	return max(0, float64(l.urgentBacklog(least))-max(0, l.writeAllowance())) / max(0.1, l.store.WriteRate())
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -71,7 +71,7 @@
 }
 
 // Work returns the owner's estimate of the job's total work: the larger of CPUs and GPUs per
-// task, but at least 1, times the number of tasks and the seconds per task.
+// task, but at least 1, times the number of tasks and the seconds per task, also at least 1.
 func (s *Spec) Work() float64 {
 	return float64(s.Tasks) * max(s.Resources.CPUs, s.Resources.GPUs, 1) * max(1, s.EstimateS)
 }
--- a/internal/placement/claims.go
+++ b/internal/placement/claims.go
@@ -35,9 +35,8 @@
 type Claims map[*ledger.Job]Claim
 
 // Guaranteed reports whether the claim is on a guarantee, for which running tasks may be
-// stopped. A job with just a minimum share only takes capacity that becomes free: when
-// machines were also held for it, a gang that waited for units found none
-// (sim.TestLargeRequest).
+// stopped. A minimum share by itself only gives capacity that becomes free: when machines
+// were also held for it, a gang that waited for units found none (sim.TestLargeRequest).
 func (c Claim) Guaranteed() bool { return c != NoClaim && c != MinShare }
 
 // hasMinShare reports whether the claim is on a minimum share.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -150,7 +150,7 @@
 			return false
 		}
 		if target := t.MoveTarget; target != nil && v.Now < t.MoveDeadline && Usable(target, v) && Allowed(j, target) && s.Resources.Fits(target.Free()) && zoneAllows(j, count, target.Zone) && j.PortFree(i, target) {
-			l.Plan(j, i, t.Attempt+1, target) // the destination was chosen when its old machine was drained
+			l.Plan(j, i, t.Attempt+1, target) // consolidation chose the target together with those of its other moves
 			count[target.Zone]++
 			continue
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -180,8 +180,9 @@
 		return w.jobAt(model.Spec{Team: "red", Tasks: gpus, Resources: model.Resources{GPUs: 1}, EstimateS: est, DeadlineS: due}, at)
 	}
 	late, large, small := add(0, 8, 600, 30), add(time.Second, 16, 100, 900), add(2*time.Second, 12, 10, 900)
-	// The two oldest jobs take all 24 GPUs, 8 and 16. When they are late, the small
-	// job takes 12, and the tiny one 4 of the other 12.
+	// By age the two oldest jobs take all 24 GPUs, 8 and 16. Once all tasks have begun, the
+	// late job has no claim and the least work goes first: the tiny job takes 4 and the
+	// small one 12, which leaves too few for the large one.
 	tiny := add(3*time.Second, 4, 20, 900)
 	if in := NewClaims(w.l, w.v.Objectives, nil, w.v.Now); in[late] != Entitled || in[large] != Entitled {
 		t.Errorf("late %v, large %v: they are entitled and have not begun", in[late], in[large])
