--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,7 +23,7 @@
 
 // Config holds the settings of an Actor.
 type Config struct {
-	RentalID       uint64 // part of the IDs of rental requests; differs between terms
+	RentalID       uint64 // part of the IDs of all rental requests of a term; no other term ever has the same
 	CloudAddr      string
 	RPS            float64
 	CPUShare       float64 // part of a core that the process may use; 0: a whole core
--- a/internal/fleet/inflow.go
+++ b/internal/fleet/inflow.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// retaken estimates, for each priority, which fraction of the capacity freed by running tasks
-// arriving work of that priority takes again.
+// retaken estimates, for each priority, which fraction of the capacity that its running tasks
+// free is taken again by arriving work of the same priority.
 func (a *Actor) retaken() (r placement.Retaken) {
 	var busy placement.Retaken
 	for _, j := range a.led.Order() {
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -243,7 +243,8 @@
 }
 
 // worthRenting reports whether to rent a machine for a job that would start at onNew on a new
-// machine and at onExisting on the others; ok is false if it would never start on those.
+// machine and at onExisting on the others; ok is false if it would never start on those. within
+// says that its team's guarantee covers the job.
 func (a *Actor) worthRenting(j *ledger.Job, now, onExisting time.Duration, ok bool, onNew time.Duration, objectives *placement.Objectives, within bool) bool {
 	if !ok {
 		return true
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -41,7 +41,9 @@
 	// generation counts the pauses of the process. Answers to messages and orders that were
 	// sent before the last pause are ignored.
 	generation int
-	// OnRefused is called with each report that could not be forwarded.
+	// OnRefused is called with each report that is refused because it was queued for too long
+	// or got no valid answer from the leader, but not with those that a full queue or
+	// AbortPending refuses.
 	OnRefused func(body []byte)
 }
 
--- a/internal/intake/allocation.go
+++ b/internal/intake/allocation.go
@@ -135,7 +135,7 @@
 // Divide divides the limit between all nodes, including this one, by their demand. It returns
 // this node's rate and the allocations of the others, which are rates beyond the base rate. An
 // allocation grows only by what no other node may still hold. Capacity that exceeds the demand
-// isn't allocated.
+// isn't allocated and stays with the leader.
 func (a *Allocator) Divide(now time.Duration, limit, ownDemand float64) (ownRate float64, rates map[string]float64, number uint64) {
 	shares := []*fair.Share{{Demand: withMargin(ownDemand)}}
 	var ordered []*nodeState
--- a/internal/intake/fairqueue.go
+++ b/internal/intake/fairqueue.go
@@ -101,8 +101,9 @@
 	virtualClock         float64 // the virtual time of the teams
 	// Refused counts the refused submissions.
 	Refused int
-	// BlockedClasses are the classes with more unfinished work than their share of what the
-	// controllers can hold. The leader determines them; none of their submissions is admitted.
+	// BlockedClasses are the classes that have more tasks in unfinished jobs than their share of
+	// the tasks that fit into a controller's memory. The leader determines them; none of their
+	// submissions is admitted.
 	BlockedClasses map[fair.Key]bool
 }
 
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -106,8 +106,8 @@
 	watchBlock    = 2 * time.Second
 	// A renewal that was executed is valid even if its answer comes late.
 	renewTimeout = 2500 * time.Millisecond
-	// While the service answers slowly, timeouts grow up to these limits: of the leader's
-	// own transactions, of transactions that a user waits for (up to 5 s, with four
+	// While the service answers slowly, timeouts grow up to these limits: of a node's own
+	// transactions and watches, of transactions that a user waits for (up to 5 s, with four
 	// attempts), and of polls, for which a user waits 2 s.
 	ownTimeoutMax, userTimeoutMax, pollTimeoutMax = 4 * time.Second, 1100 * time.Millisecond, 1800 * time.Millisecond
 	maxTimeoutFactor                              = 6
--- a/internal/workers/exits.go
+++ b/internal/workers/exits.go
@@ -104,7 +104,7 @@
 		return
 	}
 	if m.FailedJobs() >= 2 {
-		a.env.Log().Info("draining machine, tasks of several jobs failed on it", "machine", m.Name, "jobs", m.FailedJobs())
+		a.env.Log().Info("machine takes no new tasks and will be returned, tasks of several jobs failed on it", "machine", m.Name, "jobs", m.FailedJobs())
 		m.NoPlacementBefore = a.env.Now() + time.Hour
 		m.Leaving = true
 	} else {
--- a/internal/workers/leases.go
+++ b/internal/workers/leases.go
@@ -46,7 +46,7 @@
 // LeaseExpiry returns the time from which no task on the machine can be running any more
 // if the machine stays silent.
 func (a *Actor) LeaseExpiry(m *ledger.Machine) time.Duration {
-	last := a.began + a.cfg.Hold // the last time at which an earlier leader answered
+	last := a.began + a.cfg.Hold // the latest time at which an earlier leader may have answered
 	if m.TokenSeen {
 		// An earlier leader may have answered the worker until it saw the current token.
 		// The worker may have seen the token in a command, before its first report in this
@@ -97,9 +97,10 @@
 // task was stopped.
 const stuckTimeout = 30 * time.Second
 
-// hasStuckStart reports whether a stopped task is missing from the machine's reports while a
-// direct start of it that got no answer may still arrive. The task's resources would never
-// become free; a higher token makes the start void.
+// hasStuckStart reports whether the machine's worker reports regularly without a stopped task,
+// while a direct start of the task that got no answer may still arrive after stuckTimeout or
+// the start's deadline. The task's resources would never become free; a higher token makes the
+// start void.
 func (a *Actor) hasStuckStart(m *ledger.Machine) bool {
 	if len(m.UnconfirmedStarts) == 0 {
 		return false
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -56,9 +56,10 @@
 				continue // decided when the worker has seen the current token
 			}
 			if p.Inherited && p.Session == 0 && a.led.OverLimit(p) {
-				// The last leader may have known that the task had ended, and placed another
-				// task on its resources, before the end was written. Both are recorded as
-				// placed, and starting both would exceed the limit.
+				// The last leader may have known that the task had ended, and given its part
+				// of the team's limit or its units to another task, before the end was
+				// written. Both are recorded as placed, and starting both would exceed the
+				// limit.
 				a.led.MarkLost(p, model.CauseMachineLost)
 				continue
 			}
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -262,7 +262,8 @@
 	}
 }
 
-// drain evicts all tasks of a machine that is about to be returned or reclaimed.
+// drain evicts the tasks of a machine that is about to be returned or reclaimed, so that their
+// progress is saved where that is possible. Evict leaves some running tasks in place.
 func (a *Actor) drain(m *ledger.Machine, why string) {
 	for _, p := range m.PlacementsCopy() {
 		if p.Gone || p.Stopping {
@@ -274,7 +275,8 @@
 }
 
 // Evict stops a task, or the whole gang it belongs to, and saves its progress if that is
-// possible.
+// possible. A running task that isn't part of a gang and can't save its progress is left to
+// complete.
 func (a *Actor) Evict(p *ledger.Placement, why string) {
 	if p.Job.Spec.Kind != model.Gang {
 		if p.Job.Spec.CheckpointS <= 0 && p.Phase == model.Running {
