--- a/cmd/brooklb/rollout.go
+++ b/cmd/brooklb/rollout.go
@@ -183,7 +183,7 @@
 	var watch bool
 	var every time.Duration
 	c := flags.register(&cobra.Command{
-		Use: "status SERVICE", Short: "show the state of a service and its roll-out",
+		Use: "status SERVICE", Short: "show the state of a service and its roll-out, and the reason for it",
 		Args: serviceArgs(1, "rollout status takes one service"),
 		RunE: func(c *cobra.Command, args []string) error {
 			out := c.OutOrStdout()
--- a/cmd/brooklb/user_test.go
+++ b/cmd/brooklb/user_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestCommands runs the command line against a test server and checks the output and the
-// exit status.
+// TestCommands runs the command line against a test server that answers as documented, and
+// checks the output and the exit status.
 func TestCommands(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer := func(status int, body string) {
--- a/internal/rollout/check_test.go
+++ b/internal/rollout/check_test.go
@@ -140,8 +140,8 @@
 }
 
 // TestManyChecks guards against using too many sockets or too much processor time when
-// thousands of instances are checked on 12% of a core and many don't answer. Every
-// instance must still be checked, but less often.
+// thousands of instances are checked on 12% of a core and many don't answer. Checks
+// come less often then, and nearly all instances must still be checked.
 func TestManyChecks(t *testing.T) {
 	e, c, _ := newTestChecker(4096, 0.12, testHealth())
 	slow := 0
--- a/internal/rollout/handler.go
+++ b/internal/rollout/handler.go
@@ -20,8 +20,8 @@
 	env   actor.Env
 	store *statestore.Store
 	teams map[string]settings.Team
-	// Check reports why a job can never run. known is false while the machine types
-	// aren't known.
+	// Check reports why a job can never run. known is false while that can't be decided:
+	// the machine types aren't known, or a controller doesn't count resources.
 	Check func(s *model.Spec) (known bool, err error)
 	// RolloutsSupported reports whether all controllers with a recent status can read the
 	// records of roll-outs. During an upgrade some can't.
--- a/internal/rollout/health.go
+++ b/internal/rollout/health.go
@@ -21,9 +21,9 @@
 const (
 	// maxInFlight is the largest number of concurrent checks: each takes a socket.
 	maxInFlight = 64
-	// checkCost is the processor time of a check, including a margin of 50%. A call in
-	// httpx.BenchmarkOnce takes twice as long without the margin, because it includes the
-	// server. Checks use at most checkShare of the processor time that the process may use.
+	// checkCost is the processor time of a check: half the time of a call in
+	// httpx.BenchmarkOnce, which includes the server, and a margin of 50%. Checks use at
+	// most checkShare of the processor time that the process may use.
 	checkCost  = 200 * time.Microsecond
 	checkShare = 0.2
 	// jitter is the part of the interval by which checks are spread, so that they
--- a/internal/settings/sharing.go
+++ b/internal/settings/sharing.go
@@ -11,9 +11,9 @@
 // Sharing configures how teams and classes share scarce capacity. Each class of a
 // team has a minimum share of the cluster for its jobs, which the settings keys call its floor.
 type Sharing struct {
-	// MinShareFraction is the fraction of the cluster that the minimum shares of the classes
-	// with the highest priority may take together, and those of all other classes as well. 0
-	// disables minimum shares.
+	// MinShareFraction is the fraction of the cluster that minimum shares may take together.
+	// It applies once to the classes with the highest priority and once to all other classes.
+	// 0 disables minimum shares.
 	MinShareFraction float64
 	// MinShareJobFraction is the fraction of a class's unfinished jobs, smallest first, that the
 	// size of its minimum share is computed from.
--- a/internal/units/handler.go
+++ b/internal/units/handler.go
@@ -120,7 +120,7 @@
 var priorities = map[string]model.Priority{"low": model.Low, "normal": model.Normal, "high": model.High, "production": model.Production}
 
 // set changes the fields that the operator's request has and leaves the others, except
-// Shed, which it always sets.
+// Shed and By, which it always sets.
 func (h *Handler) set(rec *Record, u *wire.UnitsUpdate) error {
 	if u.Count == nil && rec.V == 0 {
 		return fmt.Errorf("field count is missing: the resource is new")
@@ -154,8 +154,8 @@
 	return rec.Check()
 }
 
-// change applies f to the current record and writes the result, unless another write
-// has changed the record.
+// change applies f to the current record and writes the result on the condition that no
+// other write has changed the record. It retries a failed write up to tries times.
 func (h *Handler) change(name string, f func(rec *Record) error, tries int, reply func(httpx.Response)) {
 	h.read(name, reply, func(rec *Record, revision uint64) {
 		if rec == nil {
--- a/internal/units/record.go
+++ b/internal/units/record.go
@@ -1,7 +1,7 @@
 // Package units counts named resources that exist in a limited number, such as
 // licences or seats of a tool. It has their records and computes who may take how many
-// units. Holders have no records of their own: a placement holds its units until it is
-// proven gone (package ledger).
+// units. Holders have no records of their own: a placement holds its units from the time
+// it is planned until it is proven gone (package ledger).
 package units
 
 import (
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -64,7 +64,8 @@
 
 var priorities = map[string]model.Priority{"critical": model.Production, "high": model.High, "standard": model.Normal, "idle": model.Low}
 
-// maxAmount bounds CPUs, GPUs, gigabytes and seconds; larger values are malformed.
+// maxAmount bounds CPUs, GPUs, gigabytes and seconds. No real amount comes near it; larger
+// values are malformed.
 const maxAmount = 1e9
 
 // DecodeJob decodes and validates a submission. The error text is sent to the user.
