--- a/internal/sim/all_controllers_restart_test.go
+++ b/internal/sim/all_controllers_restart_test.go
@@ -22,7 +22,7 @@
 // TestAllControllersRestart has all controllers down for longer than a lease. They come back at
 // once, one by one, or one of them alone for a minute. By then all tasks have been killed as
 // their workers' leases expired, and the workers have new sessions. Few tasks may be started more
-// than once, and no gang under an attempt that had begun.
+// than once, and a gang that had begun only under a new attempt.
 func TestAllControllersRestart(t *testing.T) {
 	at := func(d time.Duration) func(int) time.Duration {
 		return func(i int) time.Duration { return time.Duration(i) * d }
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -28,9 +28,9 @@
 	BootFactor func(zone string) float64
 	// ListLag is added to the usual lag of the list.
 	ListLag time.Duration
-	// PageSize limits the machines on a page of the list, 0: to the requested number. With
-	// Shuffle a page has a random order and one machine twice. With EndlessPages every
-	// page announces another, and after the last machine the list starts again.
+	// PageSize limits the machines on a page of the list, 0: to the requested number, or to
+	// 500. With Shuffle a page has a random order and one machine twice. With EndlessPages
+	// every page announces another, and in place of its last page the list starts again.
 	PageSize              int
 	Shuffle, EndlessPages bool
 	// ListRequests counts the requests for a page of the list.
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -160,7 +160,7 @@
 	s.armAlarm()
 }
 
-// Shares is the sum of the write rates per second that the running controllers may use.
+// Shares is how many writes per second the running controllers may make together.
 func (w *World) Shares() float64 {
 	sum := 0.0
 	for _, s := range w.nodes {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -43,8 +43,8 @@
 }
 
 // TestFleetRecovery crashes all controllers of a fleet at once while work waits:
-// starts must resume within the lease, the restart and 3 s, no machine may lose
-// its tasks, and the new leader must not rent machines that it does not need.
+// starts must resume within the leader's lease, the restart and 3 s, no machine may
+// lose its tasks, and the new leader must not rent machines that it does not need.
 func TestFleetRecovery(t *testing.T) {
 	const machines, restart = 2000, 5 * time.Second
 	w := fleetWorld(machines)
--- a/internal/sim/forward_test.go
+++ b/internal/sim/forward_test.go
@@ -182,7 +182,7 @@
 }
 
 // TestSpreadEvenly checks that the workers' reports spread evenly over all controllers, and that
-// the other controllers take over the workers of one that ends.
+// within 10 s of a controller's end the others have taken over its workers.
 func TestSpreadEvenly(t *testing.T) {
 	w := New(Config{Seed: 5, Nodes: 5, Zones: []string{"a", "b", "c"}, Capacity: 300, Initial: 300, CPUs: 16, GPUs: 4, BootS: 15, Sockets: 400,
 		RPS: 250, WriteRPS: 60, CloudRPS: 6, Teams: []settings.Team{{Name: "free"}}})
--- a/internal/sim/history.go
+++ b/internal/sim/history.go
@@ -45,7 +45,7 @@
 			op.State = "open"
 		}
 	case kind == OpPoll:
-		return // an unanswered poll has no effect
+		return // a poll whose answer gave no state has no effect
 	default:
 		op.Return = noReturn
 	}
--- a/internal/sim/invalid_requests_test.go
+++ b/internal/sim/invalid_requests_test.go
@@ -14,8 +14,8 @@
 // TestInvalidRequests sends every node jobs with each field absent, null, of a wrong type and out
 // of range, and jobs that can never run: without faults, just after a node has restarted, and while
 // the state service refuses a node. The answers must be 400 or 422 as in the protocol, or 503 if a
-// node can't decide, and never 201. Users also repeat submissions and cancellations of jobs in
-// every state.
+// node can't decide, and never 201. Users also repeat submissions of jobs in every state, and
+// cancel jobs that are done.
 func TestInvalidRequests(t *testing.T) {
 	for _, seed := range seeds(t, 2) {
 		w := world(46000 + seed)
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -427,8 +427,8 @@
 	r.m.w.attemptEnded(r, was)
 }
 
-// halt carries out the order to stop the task. It saves a checkpoint first if the grace
-// period in seconds is long enough.
+// halt carries out the order to stop the task. A running task of a job with checkpoints,
+// other than a gang, saves one first if the grace period in seconds is long enough.
 func (r *runner) halt(grace float64) {
 	r.m.w.checkHalt(r)
 	switch r.phase {
--- a/internal/sim/message_faults.go
+++ b/internal/sim/message_faults.go
@@ -163,9 +163,9 @@
 	w.after(0, probe)
 }
 
-// recordCheck counts a health check. Two failures mark the node unhealthy; two successes
-// after the pause readmitAfter, which doubles if the node fails again within 2 minutes, mark
-// it healthy again.
+// recordCheck counts a health check. Two failures in a row mark the node unhealthy; two
+// successes in a row mark it healthy again once readmitAfter has passed. That time is 3 s,
+// and doubles up to a minute if the node becomes unhealthy again within 2 minutes.
 func (b *backend) recordCheck(now time.Duration, ok bool) {
 	switch {
 	case ok:
--- a/internal/sim/rollout_test.go
+++ b/internal/sim/rollout_test.go
@@ -346,7 +346,7 @@
 		n := w.HealthyInstances("j-3")
 		w.Run(w.now + 60*time.Second)
 		if m := w.HealthyInstances("j-3"); m != n || n == 0 || n == 9 {
-			t.Errorf("%d new instances after the pause, %d a minute later", n, m)
+			t.Errorf("%d new instances 20 s after the order to pause, %d a minute later", n, m)
 		}
 		w.Rollout(Version{Service: "shop", Job: versionJob("j-4", "web:good", 9), Surge: 1}, func(status int, body []byte) {
 			if status != 409 || !strings.Contains(string(body), "under way") {
--- a/internal/sim/rules.go
+++ b/internal/sim/rules.go
@@ -36,7 +36,7 @@
 		}
 	}
 	if j.spread && inZone > (j.tasks+1)/2 {
-		w.reportViolation("wrong_place", "%s starts as task number %d of %d in %s", r.key, inZone, j.tasks, r.m.Zone)
+		w.reportViolation("wrong_place", "%s starts, which makes %d of %d tasks in zone %s", r.key, inZone, j.tasks, r.m.Zone)
 	}
 	w.checkQuota(j.team)
 	w.checkSurge(r)
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -38,7 +38,7 @@
 	service string
 	port    int
 	perTask bool
-	// firstUnhealthy is when an instance of it first failed a check.
+	// firstUnhealthy is when an instance of it first answered a check with a status other than 200.
 	firstUnhealthy time.Duration
 	starts         int
 	// nodeIndex is the node that its user is connected to, if connected. unansweredSince
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -32,7 +32,7 @@
 	// and 4 KiB. A page of keys has at most PageKeys, 0: 7, since small pages find more
 	// faults. Watches that begin before the last KeepChanges changes, 0: 300, are refused.
 	TxnOps, ValueKB, PageKeys, KeepChanges int
-	// Report is the mean interval of a worker's reports, 0: 3 s.
+	// ReportInterval is the mean interval of a worker's reports, 0: 3 s.
 	ReportInterval time.Duration
 	// CPUShare, MemMB and Sockets are a controller's limits, 0: no limit stated, 125 and 1,000.
 	CPUShare, MemMB float64
@@ -110,8 +110,8 @@
 	UserNode      func() int
 	SubmitTimeout time.Duration
 	RetryLater    int
-	// OlderNodes are the nodes, by name, whose program neither writes nor reads the
-	// fields of a status with numbers from 8 on.
+	// OlderNodes are the nodes, by name, whose program knows neither intake allocations nor
+	// forwarding: it neither writes nor reads the fields of a status with numbers from 8 on.
 	OlderNodes map[string]bool
 	// Answered counts, by node, the workers' reports that were answered with 200 in time.
 	Answered map[int]int
